--- a/bench/decision_bench.cc
+++ b/bench/decision_bench.cc
@@ -15,9 +15,9 @@
 class DispatchBench {
  public:
   explicit DispatchBench(int engines)
-      : context_(NodeIdentity{{NodeId{1}, BootId{1}}, ZoneId{1}}, Knobs{}, 1),
+      : context_(NodeIdentity{{NodeId{1}, BootId{1}}, ZoneId{1}}, Parameters{}, 1),
         prefixes_(4096),
-        dispatcher_(Knobs{}, table_, prefixes_) {
+        dispatcher_(Parameters{}, table_, prefixes_) {
     BundlePlan plan;
     plan.main_engines = engines;
     plan.prefill_engines = engines / 2;
--- a/bench/serving_bench.cc
+++ b/bench/serving_bench.cc
@@ -15,13 +15,13 @@
 // A serving core before `engines` engines, in six zones of three regions; half of them read, half answer.
 class ServingBench {
  public:
-  explicit ServingBench(int engines) : core_(MakeKnobs(), "zone0", 1) {
+  explicit ServingBench(int engines) : core_(MakeParameters(), "zone0", 1) {
     Send(ConfigurationChanged{MakeConfig()});
     std::vector<EngineRecord> records;
     records.reserve(static_cast<std::size_t>(engines));
     for (int i = 0; i < engines; ++i) records.push_back(MakeEngine(i));
     Send(EnginesReplaced{records});
-    Send(StoreContactChanged{true});
+    Send(StoreConnectivityChanged{true});
     PeersChanged peers;
     peers.nodes = 2;
     Send(peers);
@@ -35,7 +35,7 @@
     arrived.flow = ++flow_;
     arrived.facts.host = "h.example";
     arrived.facts.path = "/chat/x";
-    PromptFacts prompt;
+    PromptMetadata prompt;
     prompt.tokens = 9190;
     prompt.output_tokens = 2;
     prompt.parts = {{fmt::format("shared-{}", flow_ * 7919 % kSharedParts), 6300}, {"own", 2890}};
@@ -46,10 +46,11 @@
   }
 
  private:
-  static ServingKnobs MakeKnobs() {
-    ServingKnobs knobs;
-    for (int zone = 0; zone < 6; ++zone) knobs.regions[fmt::format("zone{}", zone)] = fmt::format("region{}", zone / 2);
-    return knobs;
+  static ServingParameters MakeParameters() {
+    ServingParameters parameters;
+    for (int zone = 0; zone < 6; ++zone)
+      parameters.regions[fmt::format("zone{}", zone)] = fmt::format("region{}", zone / 2);
+    return parameters;
   }
   static ServingConfig MakeConfig() {
     ServingConfig config;
@@ -92,7 +93,7 @@
   }
   void Answer(const StartAttempt& start, const std::string& handle) {
     constexpr int kOk = 200;
-    Send(AttemptHead{start.flow, start.attempt, AnswerFacts{kOk, false, true, std::nullopt}});
+    Send(AttemptHeadReceived{start.flow, start.attempt, EngineResponseHead{kOk, false, true, std::nullopt}});
     Send(AttemptCompleted{start.flow, start.attempt, handle});
   }
 
--- a/include/saltquay/admission/reading_order.h
+++ b/include/saltquay/admission/prefill_queue.h
@@ -18,14 +18,14 @@
 
 using PromptId = std::uint64_t;
 
-struct WaitingPrompt {
+struct QueuedPrompt {
     PromptId id = 0;
     Time arrived {};
-    Time full_worth_until {}; // Read later than this, its answer misses the objective.
-    Time ends {};             // Nobody wants the answer after this.
-    int urgency = 5;          // Of its route; 0 is the most urgent.
-    double worth = 1;         // Against the mean of its route.
-    double cost_ms = 1;       // Engine time to read it, in milliseconds.
+    Time prefill_deadline {};   // Read later than this, its answer misses the objective.
+    Time ends {};               // Nobody wants the answer after this.
+    int route_priority = 5;     // Of its route; 0 is the most urgent.
+    double worth = 1;           // Against the mean of its route.
+    double prefill_cost_ms = 1; // Engine time to read it, in milliseconds.
 };
 
 // What the next prompt would gain.
@@ -34,33 +34,33 @@
     Late,   // It cannot, but an answer is still wanted.
 };
 
-struct OrderedPrompt {
+struct PrefillCandidate {
     PromptId id = 0;
     Lane lane = Lane::InTime;
 };
 
-class ReadingOrder {
+class PrefillQueue {
 public:
-    virtual ~ReadingOrder() = default;
+    virtual ~PrefillQueue() = default;
 
-    virtual void add(WaitingPrompt const& prompt) = 0;
+    virtual void add(QueuedPrompt const& prompt) = 0;
     // Does nothing where there is no such prompt.
     virtual void remove(PromptId id) = 0;
     // From now on the prompt goes before all that are not committed, in the order of commitment.
     virtual void commit(PromptId id) = 0;
     virtual std::size_t committed() const = 0;
     // The prompts to try next, best first, at most `most` of a lane.
-    virtual std::vector<OrderedPrompt> next(Time now, std::size_t most) = 0;
+    virtual std::vector<PrefillCandidate> next(Time now, std::size_t most) = 0;
     virtual std::size_t size() const = 0;
 };
 
-enum class OrderPolicy {
-    None,      // Every prompt is sent at once; a baseline.
-    FirstCome, // By arrival; a baseline.
-    Worth,     // What can meet its objective first, by worth for each millisecond of engine.
+enum class QueuePolicy {
+    None,                 // Every prompt is sent at once; a baseline.
+    FirstComeFirstServed, // By arrival; a baseline.
+    ValuePerCost,         // What can meet its objective first, by worth for each millisecond of engine.
 };
 
-// Never null; OrderPolicy::None gives the order of arrival.
-std::unique_ptr<ReadingOrder> make_reading_order(OrderPolicy policy);
+// Never null; QueuePolicy::None gives the order of arrival.
+std::unique_ptr<PrefillQueue> make_prefill_queue(QueuePolicy policy);
 
 }
--- a/include/saltquay/admission/reading_model.h
+++ b/include/saltquay/admission/prefill_time_model.h
@@ -5,7 +5,7 @@
 // readings look too slow (parts had given way) or too fast (parts were kept
 // that nobody knew of). The model follows quantiles instead of means: small
 // prompts give the fixed part, long ones the rate. Until it has learned, it
-// answers with the first rate of its knobs.
+// answers with the first rate of its parameters.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace saltquay::admission {
 
-struct ReadingModelKnobs {
+struct PrefillTimeModelParameters {
     double first_rate = 30; // Prompt tokens in a millisecond, before anything was measured.
     double rate_quantile = 0.8;
     double fixed_quantile = 0.3;
@@ -25,12 +25,12 @@
     int long_tokens = 2048;  // from this size the rate.
 };
 
-class ReadingModel {
+class PrefillTimeModel {
 public:
-    explicit ReadingModel(ReadingModelKnobs const& knobs)
-        : knobs_(knobs)
-        , rate_(knobs.first_rate)
-        , typical_rate_(knobs.first_rate)
+    explicit PrefillTimeModel(PrefillTimeModelParameters const& parameters)
+        : parameters_(parameters)
+        , rate_(parameters.first_rate)
+        , typical_rate_(parameters.first_rate)
     {
     }
 
@@ -41,11 +41,11 @@
     double rate() const { return rate_; }
     // The same as it comes out on average by what is believed of the engines'
     // memories: parts that had given way are read as well.
-    double typical_rate() const { return typical_rate_; }
+    double median_rate() const { return typical_rate_; }
     // Whether any reading told of the rate.
     bool learned() const { return rate_readings_ > 0; }
     // Milliseconds of a reading that do not depend on its size.
-    double fixed_ms() const { return fixed_ms_; }
+    double fixed_overhead_ms() const { return fixed_ms_; }
     double predict_ms(std::int64_t tokens) const { return fixed_ms_ + static_cast<double>(tokens) / rate_; }
     // Mean of |predicted - real| / real over the last readings; 0: none yet.
     double relative_error() const { return relative_error_; }
@@ -55,7 +55,7 @@
     void note_fixed(double milliseconds);
     void note_rate(double rate);
 
-    ReadingModelKnobs knobs_;
+    PrefillTimeModelParameters parameters_;
     double rate_ = 1;
     double typical_rate_ = 1;
     double fixed_ms_ = 0;
--- a/include/saltquay/duties/capacity_controller.h
+++ b/include/saltquay/duties/capacity_controller.h
@@ -20,7 +20,7 @@
 
 namespace saltquay::duties {
 
-struct EngineOrder {
+struct ScalingOrder {
     std::string service;
     std::string zone;
     int engines = 0;
@@ -32,38 +32,38 @@
     std::string details; // JSON members, without braces.
 };
 
-using CapacityAction = std::variant<EngineOrder, LogCapacity>;
+using CapacityAction = std::variant<ScalingOrder, LogCapacity>;
 
-struct CapacityControllerKnobs {
-    CapacityKnobs planner;
+struct CapacityControllerParameters {
+    CapacityPlannerParameters planner;
     Duration interval = 250ms;
     Duration log_interval = 5s;
     // Beyond the boot time, until an order that did not bring the engines is repeated.
-    Duration order_slack = 3s;
-    Duration unavailable_pause = 2s; // Until spot engines are asked for again where there were none.
-    Duration unknown_pause = 1s;     // The same after no answer.
-    int most_orders = 6;             // In one interval, of all services together.
+    Duration order_retry_margin = 3s;
+    Duration spot_retry_delay = 2s;    // Until spot engines are asked for again where there were none.
+    Duration unknown_retry_delay = 1s; // The same after no answer.
+    int max_orders_per_interval = 6;   // In one interval, of all services together.
     // Engines make themselves known over two heartbeats. None is sent away until the number of those that were there
     // at first has rested so long, or that many times as long is over.
     Duration rest = 2500ms;
-    int longest_rests = 4;
+    int max_settle_periods = 4;
     // More are ordered only when so much more than what was wanted is needed, or each moment would bring an order.
-    double growth_step = 1.08;
+    double scale_out_threshold = 1.08;
 };
 
 class CapacityController {
 public:
-    explicit CapacityController(CapacityControllerKnobs const& knobs)
-        : knobs_(knobs)
+    explicit CapacityController(CapacityControllerParameters const& parameters)
+        : parameters_(parameters)
     {
     }
 
-    // `holds`: this node may order now. `tenure`: the lease's token; with another one, others may have ordered
+    // `holds`: this node may order now. `lease_token`: the lease's token; with another one, others may have ordered
     // meanwhile. `demand`: of all nodes, by service.
-    void step(Time now, bool holds, std::int64_t tenure, serving::ServingConfig const&,
+    void step(Time now, bool holds, std::int64_t lease_token, serving::ServingConfig const&,
         std::map<std::string, serving::ServiceDemand> const& demand, serving::EngineDirectory const&,
         std::vector<CapacityAction>&);
-    void on_ordered(Time now, EngineOrder const&, DutyOutcome);
+    void on_order_completed(Time now, ScalingOrder const&, DutyOutcome);
 
 private:
     // What one number at the platform is kept for.
@@ -111,13 +111,13 @@
     void settle(Time now, ServiceState&, EnginesByZone const& present, bool idle) const;
     int update_wanted(Time now, serving::Service const&, serving::ServiceDemand const&, EnginesByZone const& present);
     void plan_zone(Time now, ZonePlan const&, std::vector<CapacityAction>&);
-    void order(Time now, EngineOrder const&, ZonePlan const&, std::vector<CapacityAction>&);
+    void order(Time now, ScalingOrder const&, ZonePlan const&, std::vector<CapacityAction>&);
     int usual_engines(ServiceState const&) const;
     int missing_without_spot(serving::Service const&, serving::ServiceDemand const&, EnginesByZone const& present);
     bool is_idle(serving::ServiceDemand const&) const;
     bool is_unavailable(OrderKey const&) const;
 
-    CapacityControllerKnobs knobs_;
+    CapacityControllerParameters parameters_;
     Time next_step_ {};
     int orders_left_ = 0;
     std::int64_t tenure_ = 0;
--- a/include/saltquay/duties/fleet_clock.h
+++ b/include/saltquay/duties/fleet_clock.h
@@ -22,14 +22,14 @@
 class FleetClock {
 public:
     // What this machine's clock says at `now`.
-    void note_own(Time now, WallTime);
+    void record_own_clock(Time now, WallTime);
     // What a peer's clock said in a message that came at `now`.
-    void note_peer(std::string_view node, Time now, WallTime);
+    void record_peer_clock(std::string_view node, Time now, WallTime);
 
     // The median of what the peers heard lately and this machine say.
     WallTime at(Time now) const;
     // How far this machine's own clock is ahead of the fleet's; negative: behind.
-    std::chrono::milliseconds own_error(Time now) const;
+    std::chrono::milliseconds own_clock_error(Time now) const;
 
 private:
     struct Sample {
--- a/include/saltquay/duties/usage_counter.h
+++ b/include/saltquay/duties/usage_counter.h
@@ -43,8 +43,8 @@
     // A request began to run at `began`.
     void note(std::string_view tenant, WallTime began, Time now);
     // What changed since then, or all of it.
-    std::vector<UsageCount> changed_since(Time) const;
-    std::vector<UsageCount> all() const { return changed_since(Time {}); }
+    std::vector<UsageCount> counts_changed_since(Time) const;
+    std::vector<UsageCount> all() const { return counts_changed_since(Time {}); }
     // Windows before this one were reported, or are too old to be.
     void forget_before(std::int64_t window);
 
--- a/include/saltquay/duties/usage_reporter.h
+++ b/include/saltquay/duties/usage_reporter.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "saltquay/duties/duty_outcome.h"
-#include "saltquay/duties/usage_table.h"
+#include "saltquay/duties/usage_aggregator.h"
 #include "src/base/event_catalogue.h"
 
 namespace saltquay::duties {
@@ -35,17 +35,17 @@
     std::vector<UsageReport> reports;
 };
 
-struct UsageReporterKnobs {
+struct UsageReporterParameters {
     // After a window's end, before it is sealed: what began in its last moments is told by then.
     std::chrono::milliseconds settling { 700 };
     // So long after its end a window is sealed although some nodes were not heard.
     std::chrono::milliseconds patience { 6500 };
     // Sealed reports kept: what a holder that comes late may have to send again.
-    std::size_t kept_reports = 6;
+    std::size_t retained_reports = 6;
     Duration first_pause = 200ms; // Between two tries of a call; doubles up to the longest.
     Duration longest_pause = 1s;
     // A report is sent again for so long; it counts for nobody after that.
-    std::chrono::milliseconds sent_for { 40000 };
+    std::chrono::milliseconds send_period { 40000 };
 };
 
 struct ReadSealedUsage { };
@@ -77,16 +77,16 @@
 
 class UsageReporter {
 public:
-    UsageReporter(UsageReporterKnobs const& knobs, UsageWindows windows)
-        : knobs_(knobs)
+    UsageReporter(UsageReporterParameters const& parameters, UsageWindows windows)
+        : parameters_(parameters)
         , windows_(windows)
     {
     }
 
-    // Call it often. `holds`: this node may act now. `tenure`: the lease's token; with another one, others may have
-    // sealed meanwhile. `first_window`: where reports begin if none was ever sealed.
-    void step(Time now, WallTime wall, bool holds, std::int64_t tenure, std::int64_t first_window, UsageTable const&,
-        UsageActions&);
+    // Call it often. `holds`: this node may act now. `lease_token`: the lease's token; with another one, others may
+    // have sealed meanwhile. `initial_window`: where reports begin if none was ever sealed.
+    void step(Time now, WallTime wall, bool holds, std::int64_t lease_token, std::int64_t initial_window,
+        UsageAggregator const&, UsageActions&);
     // The object as it was read; nothing: it could not be read.
     void on_read(Time now, std::optional<SealedUsage> const&);
     void on_written(Time now, std::int64_t revision);
@@ -95,9 +95,9 @@
     void on_sent(Time now, std::int64_t window, DutyOutcome);
 
     // The last window that is sealed, as far as this node knows; nothing: unknown or none.
-    std::optional<std::int64_t> sealed_through() const;
+    std::optional<std::int64_t> last_sealed_window() const;
     // Reports that were sealed and not taken yet.
-    std::size_t unsent() const;
+    std::size_t unacknowledged_reports() const;
 
 private:
     enum class Call { None, Read, Write };
@@ -109,13 +109,13 @@
     };
 
     void lose();
-    void seal(Time now, WallTime wall, std::int64_t first_window, UsageTable const&, UsageActions&);
+    void seal(Time now, WallTime wall, std::int64_t initial_window, UsageAggregator const&, UsageActions&);
     void send(Time now, WallTime wall, UsageActions&);
-    void pass_over(std::int64_t first, WallTime, UsageTable const&, UsageActions&);
-    std::int64_t next_window(std::int64_t first_window) const;
+    void pass_over(std::int64_t first, WallTime, UsageAggregator const&, UsageActions&);
+    std::int64_t next_window(std::int64_t initial_window) const;
     void back_off(Time now);
 
-    UsageReporterKnobs knobs_;
+    UsageReporterParameters parameters_;
     UsageWindows windows_;
     std::optional<SealedUsage> sealed_; // As the store has it; nothing: to be read.
     std::optional<SealedUsage> draft_;  // Written, not answered yet.
--- a/include/saltquay/replica/freshness.h
+++ b/include/saltquay/replica/freshness_tracker.h
@@ -17,36 +17,36 @@
 
 namespace saltquay::replica {
 
-struct FreshnessKnobs {
+struct FreshnessParameters {
     // The wait of a watch at the store. Together with the limits below it bounds how late a change is known: see
     // docs/design/freshness.md.
     std::chrono::milliseconds confirm_interval { 800 };
-    std::chrono::milliseconds stale_after { 1000 };  // At a node that reads the store,
-    std::chrono::milliseconds stale_per_hop { 150 }; // and so much later for each node in between.
+    std::chrono::milliseconds stale_limit { 1000 };        // At a node that reads the store,
+    std::chrono::milliseconds stale_limit_per_hop { 150 }; // and so much later for each node in between.
     // Between two attempts to become fresh; doubled each time, for a store that is down is not to be pressed.
-    std::chrono::milliseconds first_retry { 300 };
-    std::chrono::milliseconds longest_retry { 1600 };
+    std::chrono::milliseconds initial_retry_delay { 300 };
+    std::chrono::milliseconds max_retry_delay { 1600 };
 };
 
-class Freshness {
+class FreshnessTracker {
 public:
     // `on_stale` is called when the limit passes, and again while nothing is confirmed; it may confirm.
-    Freshness(boost::asio::io_context&, FreshnessKnobs const&, std::function<void()> on_stale);
+    FreshnessTracker(boost::asio::io_context&, FreshnessParameters const&, std::function<void()> on_stale);
 
     // What this node knows is complete up to that time. An earlier one changes nothing.
-    void confirm(Time complete_until, int hops);
+    void confirm(Time valid_as_of, int hops);
     // Nothing is known for as long as this is Time {}.
     Time confirmed() const { return confirmed_; }
     Duration age(Time now) const { return now - confirmed_; }
     bool is_fresh(Time now) const { return confirmed_ != Time {} && age(now) < limit(); }
     // What is left until the store should have confirmed it anew.
-    std::chrono::milliseconds until_next_confirmation(Time now) const;
+    std::chrono::milliseconds time_to_next_confirmation(Time now) const;
 
 private:
-    Duration limit() const { return knobs_.stale_after + hops_ * knobs_.stale_per_hop; }
+    Duration limit() const { return parameters_.stale_limit + hops_ * parameters_.stale_limit_per_hop; }
     void arm(Duration delay);
 
-    FreshnessKnobs knobs_;
+    FreshnessParameters parameters_;
     std::function<void()> on_stale_;
     BootTimer timer_;
     Time confirmed_ {};
--- a/include/saltquay/replica/record_replica.h
+++ b/include/saltquay/replica/record_replica.h
@@ -21,11 +21,11 @@
     std::optional<std::chrono::milliseconds> age; // Since the store confirmed it; nothing where that is not known.
     std::chrono::milliseconds held { 0 };         // How long the question was there when the answer was written.
 };
-struct PassedList {
+struct RelayedList {
     gateway::ObjectList list;
     Provenance from;
 };
-struct PassedEvents {
+struct RelayedEvents {
     gateway::ObjectEvents events;
     Provenance from;
 };
@@ -33,7 +33,7 @@
 class RecordReplica {
 public:
     // What is kept of the past, in bytes of content; older changes are forgotten.
-    static constexpr std::size_t history_bytes = 1024 * 1024;
+    static constexpr std::size_t max_history_bytes = 1024 * 1024;
 
     void replace(gateway::ObjectList const&);
     void apply(gateway::ObjectEvents const&);
--- a/include/saltquay/replica/relay_server.h
+++ b/include/saltquay/replica/relay_server.h
@@ -20,7 +20,7 @@
     // Errors say which address cannot be bound.
     absl::Status listen(std::string const& address);
     // Changes of that kind are there, or it is confirmed that there are none.
-    void on_change(std::string const& kind);
+    void on_record_update(std::string const& kind);
 
 private:
     struct Waiting {
--- a/include/saltquay/replica/relayed_store.h
+++ b/include/saltquay/replica/relayed_store.h
@@ -3,7 +3,7 @@
 // single reads always go to the store.
 //
 // Protocol. A node answers its followers from its replica, as long as what it knows is
-// fresh (see freshness.h). A follower asks again and again, and each question waits for
+// fresh (see freshness_tracker.h). A follower asks again and again, and each question waits for
 // a change, or until the store has confirmed that there is none. When what it knows grows stale, its upstream does
 // not answer, or some peer's report names a change that has not come, the follower
 // asks the next one from where it stands, at last the store itself. Each answer says
@@ -24,7 +24,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "saltquay/fetch/fetcher.h"
-#include "saltquay/replica/freshness.h"
+#include "saltquay/replica/freshness_tracker.h"
 #include "saltquay/replica/record_replica.h"
 #include "saltquay/replica/upstream_selector.h"
 #include "src/core/serving/peer_table.h"
@@ -37,18 +37,18 @@
     serving::PeerNode self;
     std::vector<std::string> seeds;    // Addresses of peers that may be there; asked while no peer is heard.
     UpstreamSelector::Regions regions; // Of each zone.
-    UpstreamKnobs upstream;
-    FreshnessKnobs freshness;
-    std::chrono::milliseconds follower_wait { 900 };  // Beyond the time between two confirmations.
-    std::chrono::milliseconds follower_slack { 300 }; // For the reader's answer, beyond its wait.
-    std::chrono::milliseconds peers_wait { 0 };       // After the start, for the peers' reports.
+    UpstreamParameters upstream;
+    FreshnessParameters freshness;
+    std::chrono::milliseconds follower_watch_timeout { 900 }; // Beyond the time between two confirmations.
+    std::chrono::milliseconds follower_watch_margin { 300 };  // For the reader's answer, beyond its wait.
+    std::chrono::milliseconds startup_peer_wait { 0 };        // After the start, for the peers' reports.
     // Between two watches at the store where the first brought changes. Engines' records are obeyed within seconds.
-    std::chrono::milliseconds store_distance { 500 };
-    int most_hops = 2; // Of what is passed on: reader, relay, and one that is about to become a reader.
+    std::chrono::milliseconds min_store_watch_interval { 500 };
+    int max_hops = 2; // Of what is passed on: reader, relay, and one that is about to become a reader.
 };
 
 // What a node knows of a kind, for its log.
-struct RecordState {
+struct ReplicaStatus {
     bool fresh = false;
     Duration age {};           // Since the store confirmed it.
     std::int64_t revision = 0; // Of the store, up to which it is complete.
@@ -76,34 +76,34 @@
     // Answers for followers. Errors: kFailedPrecondition: this node has just started and knows nothing yet;
     // kUnavailable: what it knows is stale;
     // kOutOfRange: the changes are forgotten here.
-    absl::StatusOr<PassedList> list_for_peer(std::string const& kind, bool even_if_stale);
-    absl::StatusOr<PassedEvents> changes_for_peer(std::string const& kind, std::int64_t since);
+    absl::StatusOr<RelayedList> list_for_peer(std::string const& kind, bool allow_stale);
+    absl::StatusOr<RelayedEvents> changes_for_peer(std::string const& kind, std::int64_t since);
     // Up to when what this node knows of that kind is complete.
     Time confirmed(std::string const& kind) const;
 
     // Called after changes of that kind were taken over, or what is known was confirmed.
-    std::function<void(std::string const& kind)> on_change;
+    std::function<void(std::string const& kind)> on_record_update;
     // Called when what is known of a kind becomes stale, and when it is fresh again.
-    std::function<void(std::string const& kind, RecordState const&)> on_freshness;
+    std::function<void(std::string const& kind, ReplicaStatus const&)> on_freshness_change;
     // Called when lists and watches of a kind go to another upstream; empty: the store.
-    std::function<void(std::string const& kind, std::string const& node, std::string const& cause)> on_upstream;
+    std::function<void(std::string const& kind, std::string const& node, std::string const& cause)> on_upstream_change;
     // Called with each answer of a peer: where it came from, and its size.
-    std::function<void(serving::PeerNode const&, std::size_t bytes)> on_peer_answer;
+    std::function<void(serving::PeerNode const&, std::size_t bytes)> on_peer_response;
     // Called before each call to the store; `call`: list, watch, read or write.
     std::function<void(std::string const& kind, std::string_view call, std::string_view cause)> on_store_call;
 
 private:
     struct Kind {
         RecordReplica replica;
-        std::unique_ptr<Freshness> freshness;
-        bool told_fresh = false;  // Last told to on_freshness.
+        std::unique_ptr<FreshnessTracker> freshness;
+        bool told_fresh = false;  // Last told to on_freshness_change.
         bool asked_again = false; // The store, since what is known became stale.
         bool reads_store = false;
         bool store_failed = false; // It refused this node, or did not answer, since it last confirmed anything.
         int hops = 0;              // From the store to this node.
         Time next_store_watch {};
         Time behind_since {};
-        std::string upstream; // Last told to on_upstream.
+        std::string upstream; // Last told to on_upstream_change.
 
         // The watch under way.
         bool watching = false;
@@ -114,7 +114,7 @@
         std::string follows;
     };
     // What a peer was asked, and when.
-    struct Question {
+    struct PeerRequest {
         std::string node;
         Time asked {};
     };
@@ -122,7 +122,7 @@
 
     static Time now();
     void list_at_store(std::string const& kind, ListHandler const&);
-    void list_at_peer(std::string const& kind, serving::PeerNode const&, bool even_if_stale, ListHandler const&);
+    void list_at_peer(std::string const& kind, serving::PeerNode const&, bool allow_stale, ListHandler const&);
     void take_list(std::string const& kind, gateway::ObjectList const&, ListHandler const&);
     // Asks the upstream that is chosen now; `cause`: why it is another one than before.
     void watch_upstream(std::string const& kind, std::string const& cause);
@@ -131,19 +131,19 @@
     void ask_store(std::string const& kind, std::chrono::milliseconds wait, std::string const& cause);
     void watch_at_store_after(std::string const& kind, Duration pause, std::string const& cause);
     void on_peer_changes(
-        std::string const& kind, std::uint64_t turn, Question const&, absl::StatusOr<fetch::Reply> const& reply);
+        std::string const& kind, std::uint64_t turn, PeerRequest const&, absl::StatusOr<fetch::Reply> const& reply);
     void list_anywhere(std::string const& kind, ListHandler const&);
     void watch_at_peer(std::string const& kind, serving::PeerNode const&);
-    // `complete_until`: up to when the answer is, see Freshness.
+    // `valid_as_of`: up to when the answer is, see FreshnessTracker.
     void finish_watch(
-        std::string const& kind, std::uint64_t turn, absl::StatusOr<gateway::ObjectEvents> const&, Time complete_until);
+        std::string const& kind, std::uint64_t turn, absl::StatusOr<gateway::ObjectEvents> const&, Time valid_as_of);
     void check_lag(std::string const& kind, Kind&, std::int64_t last_change);
     void note_upstream(std::string const& kind, std::string const& node, std::string const& cause);
     Kind& kind_state(std::string const& kind);
-    void confirm(std::string const& kind, Time complete_until);
-    static Time complete_until(Question const&, Provenance const&);
+    void confirm(std::string const& kind, Time valid_as_of);
+    static Time valid_as_of(PeerRequest const&, Provenance const&);
     // What followers could hear through another node must not wait until what is known here is stale.
-    void note_store_failed(Kind&);
+    void record_store_failure(Kind&);
     // What is known of the kind is stale: asks elsewhere.
     void on_stale(std::string const& kind);
     void tell_freshness(std::string const& kind);
--- a/include/saltquay/replica/upstream_selector.h
+++ b/include/saltquay/replica/upstream_selector.h
@@ -36,24 +36,25 @@
 
 namespace saltquay::replica {
 
-struct UpstreamKnobs {
+struct UpstreamParameters {
     int readers_per_zone = 2;       // Of a small fleet; relays of a large one. At least.
     int nodes_per_reader = 16;      // A larger zone has more of them.
-    int small_fleet = 16;           // Up to so many nodes the zones' readers read the store themselves.
+    int small_fleet_limit = 16;     // Up to so many nodes the zones' readers read the store themselves.
     int readers = 2;                // Of a large fleet: one may be lost without a gap.
-    Duration avoid_for = 3s;        // A node that failed.
+    Duration avoidance_period = 3s; // A node that failed.
     Duration lag_grace = 600ms;     // Knowledge may be this much behind a peer's: two gathering pauses and their way.
-    Duration unheard_again = 600ms; // A node that the store turns away asks peers again that did not hear it either.
-    Duration seed_patience = 400ms; // Given to seeds that answer but know nothing; a fifth of a second is usual.
-    Duration seed_pause = 60ms;     // Between two questions to such a seed.
-    Duration start_pause = 200ms;   // Between two questions to any other node that has just started.
+    Duration disconnected_retry =
+        600ms;                        // A node that the store turns away asks peers again that did not hear it either.
+    Duration seed_wait_limit = 400ms; // Given to seeds that answer but know nothing; a fifth of a second is usual.
+    Duration seed_retry_delay = 60ms; // Between two questions to such a seed.
+    Duration starting_retry_delay = 200ms; // Between two questions to any other node that has just started.
     // Given to relays that have just started before their followers turn to a reader: all followers' lists at once are
     // more than a reader's link carries, and relays know within a second.
-    Duration start_patience = 2s;
+    Duration relay_start_wait_limit = 2s;
     // When nodes cease to hear of the store, each asks it once within this time: the store may turn away only those
     // that they follow, and what it says must be in force everywhere within seconds.
-    Duration first_probes = 400ms;
-    Duration probe_pause = 40ms; // After that, between two calls of all nodes to a store that nobody hears.
+    Duration initial_probe_spread = 400ms;
+    Duration probe_interval_per_node = 40ms; // After that, between two calls of all nodes to a store that nobody hears.
 };
 
 // Where to ask next.
@@ -72,29 +73,35 @@
     using Regions = std::map<std::string, std::string, std::less<>>;
 
     // `seeds`: addresses of peers that may be there. `regions`: of each zone, see Topology.
-    UpstreamSelector(
-        serving::PeerNode self, UpstreamKnobs const& knobs, std::vector<std::string> seeds = {}, Regions regions = {})
+    UpstreamSelector(serving::PeerNode self, UpstreamParameters const& parameters, std::vector<std::string> seeds = {},
+        Regions regions = {})
         : self_(std::move(self))
         , topology_(self_.zone, std::move(regions), {})
-        , knobs_(knobs)
+        , parameters_(parameters)
         , seeds_(std::move(seeds))
     {
     }
 
     Upstream choose(std::span<serving::PeerNode const> peers, Time now);
     // It does not answer, or what it knows is old.
-    void avoid(std::string_view node, Time now) { avoided_until_[std::string(node)] = now + knobs_.avoid_for; }
+    void avoid(std::string_view node, Time now)
+    {
+        avoided_until_[std::string(node)] = now + parameters_.avoidance_period;
+    }
     // It answers, and says that it does not hear the store.
-    void note_unheard(std::string_view node, Time now) { unheard_until_[std::string(node)] = now + knobs_.avoid_for; }
+    void note_disconnected(std::string_view node, Time now)
+    {
+        disconnected_until_[std::string(node)] = now + parameters_.avoidance_period;
+    }
     // The store turned this node away, or did not answer it: others may be served meanwhile, so it follows one of them.
-    void note_store_failed(Time now) { avoid(self_.node, now); }
+    void record_store_failure(Time now) { avoid(self_.node, now); }
     // It answers, and knows nothing yet: after the loss of all nodes it soon will.
-    void note_starting(std::string_view node, Time now)
+    void record_starting(std::string_view node, Time now)
     {
-        starting_until_[std::string(node)] = now + knobs_.start_pause;
+        starting_until_[std::string(node)] = now + parameters_.starting_retry_delay;
     }
     // The store answered this node itself: while it does, nothing is held back.
-    void note_store_answered(Time now) { store_answered_ = now; }
+    void record_store_success(Time now) { store_answered_ = now; }
 
 private:
     using Ranked = serving::RankedNode;
@@ -112,7 +119,7 @@
     bool may_ask_seed(std::string const& address, Time now) const;
     bool is_large(std::span<serving::PeerNode const> peers) const
     {
-        return peers.size() + 1 > static_cast<std::size_t>(knobs_.small_fleet);
+        return peers.size() + 1 > static_cast<std::size_t>(parameters_.small_fleet_limit);
     }
     bool contains_self(std::span<Ranked const>) const;
     // The one that this node prefers; nullptr where none hears the store.
@@ -124,11 +131,11 @@
 
     serving::PeerNode self_;
     serving::Topology topology_; // Only regions are asked of it.
-    UpstreamKnobs knobs_;
+    UpstreamParameters parameters_;
     std::vector<std::string> seeds_;
-    std::map<std::string, Time> avoided_until_;  // Nodes that do not answer.
-    std::map<std::string, Time> unheard_until_;  // Nodes that do not hear the store.
-    std::map<std::string, Time> starting_until_; // Nodes that know nothing yet.
+    std::map<std::string, Time> avoided_until_;      // Nodes that do not answer.
+    std::map<std::string, Time> disconnected_until_; // Nodes that do not hear the store.
+    std::map<std::string, Time> starting_until_;     // Nodes that know nothing yet.
     std::optional<Time> next_probe_;
     std::optional<Time> store_answered_;
     std::optional<Time> seeds_unheard_since_;
--- a/src/admission/reading_order.cc
+++ b/src/admission/prefill_queue.cc
@@ -1,4 +1,4 @@
-#include "saltquay/admission/reading_order.h"
+#include "saltquay/admission/prefill_queue.h"
 
 #include <map>
 #include <set>
@@ -8,9 +8,9 @@
 
 namespace {
 
-class ArrivalOrder final : public ReadingOrder {
+class ArrivalOrder final : public PrefillQueue {
 public:
-    void add(WaitingPrompt const& prompt) override
+    void add(QueuedPrompt const& prompt) override
     {
         remove(prompt.id);
         prompts_[prompt.id] = prompt;
@@ -30,13 +30,13 @@
     void commit(PromptId) override { }
     std::size_t committed() const override { return 0; }
 
-    std::vector<OrderedPrompt> next(Time now, std::size_t most) override
+    std::vector<PrefillCandidate> next(Time now, std::size_t most) override
     {
-        std::vector<OrderedPrompt> found;
+        std::vector<PrefillCandidate> found;
         for (auto const& [arrived, id] : order_) {
             if (found.size() == most)
                 break;
-            auto const in_time = now <= prompts_.at(id).full_worth_until;
+            auto const in_time = now <= prompts_.at(id).prefill_deadline;
             found.push_back({ id, in_time ? Lane::InTime : Lane::Late });
         }
         return found;
@@ -45,21 +45,21 @@
     std::size_t size() const override { return prompts_.size(); }
 
 private:
-    std::map<PromptId, WaitingPrompt> prompts_;
+    std::map<PromptId, QueuedPrompt> prompts_;
     std::set<std::pair<Time, PromptId>> order_;
 };
 
 // What is committed first. Then the more urgent routes; within one, most worth for each millisecond of
 // engine. What misses its objective moves to the late lane, which goes by
 // arrival: a prompt that is dear to read is not passed over for ever.
-class WorthOrder final : public ReadingOrder {
+class WorthOrder final : public PrefillQueue {
 public:
-    void add(WaitingPrompt const& prompt) override
+    void add(QueuedPrompt const& prompt) override
     {
         remove(prompt.id);
         prompts_[prompt.id] = prompt;
         in_time_.insert(rank(prompt));
-        expiry_.insert({ prompt.full_worth_until, prompt.id });
+        expiry_.insert({ prompt.prefill_deadline, prompt.id });
     }
 
     void remove(PromptId id) override
@@ -69,15 +69,15 @@
             return;
         in_time_.erase(rank(entry->second));
         std::erase(committed_, id);
-        expiry_.erase({ entry->second.full_worth_until, id });
+        expiry_.erase({ entry->second.prefill_deadline, id });
         late_.erase({ entry->second.arrived, id });
         prompts_.erase(entry);
     }
 
-    std::vector<OrderedPrompt> next(Time now, std::size_t most) override
+    std::vector<PrefillCandidate> next(Time now, std::size_t most) override
     {
         move_late(now);
-        std::vector<OrderedPrompt> found;
+        std::vector<PrefillCandidate> found;
         for (auto const id : committed_)
             found.push_back({ id, Lane::InTime });
         auto const in_time = found.size() + most;
@@ -102,7 +102,7 @@
         auto const entry = prompts_.find(id);
         if (entry == prompts_.end() || in_time_.erase(rank(entry->second)) == 0)
             return;
-        expiry_.erase({ entry->second.full_worth_until, id });
+        expiry_.erase({ entry->second.prefill_deadline, id });
         committed_.push_back(id);
     }
 
@@ -110,16 +110,16 @@
 
 private:
     struct Rank {
-        int urgency = 0;
+        int route_priority = 0;
         double cost_of_worth = 0; // Milliseconds for each unit of worth.
         PromptId id = 0;
 
         auto operator<=>(Rank const&) const = default;
     };
 
-    static Rank rank(WaitingPrompt const& prompt)
+    static Rank rank(QueuedPrompt const& prompt)
     {
-        return { prompt.urgency, prompt.cost_ms / prompt.worth, prompt.id };
+        return { prompt.route_priority, prompt.prefill_cost_ms / prompt.worth, prompt.id };
     }
 
     void move_late(Time now)
@@ -132,7 +132,7 @@
         }
     }
 
-    std::map<PromptId, WaitingPrompt> prompts_;
+    std::map<PromptId, QueuedPrompt> prompts_;
     std::vector<PromptId> committed_;
     std::set<Rank> in_time_;
     std::set<std::pair<Time, PromptId>> expiry_; // Of those in time.
@@ -141,9 +141,9 @@
 
 }
 
-std::unique_ptr<ReadingOrder> make_reading_order(OrderPolicy policy)
+std::unique_ptr<PrefillQueue> make_prefill_queue(QueuePolicy policy)
 {
-    if (policy == OrderPolicy::Worth)
+    if (policy == QueuePolicy::ValuePerCost)
         return std::make_unique<WorthOrder>();
     return std::make_unique<ArrivalOrder>();
 }
--- a/src/admission/reading_model.cc
+++ b/src/admission/prefill_time_model.cc
@@ -1,4 +1,4 @@
-#include "saltquay/admission/reading_model.h"
+#include "saltquay/admission/prefill_time_model.h"
 
 #include <algorithm>
 #include <cmath>
@@ -13,12 +13,12 @@
 
 }
 
-double ReadingModel::step(int readings) const
+double PrefillTimeModel::step(int readings) const
 {
-    return std::max(knobs_.last_step, knobs_.first_step / (1 + readings / halving_readings));
+    return std::max(parameters_.last_step, parameters_.first_step / (1 + readings / halving_readings));
 }
 
-void ReadingModel::note(std::int64_t tokens, Duration time)
+void PrefillTimeModel::note(std::int64_t tokens, Duration time)
 {
     if (tokens <= 0 || time <= 0s)
         return;
@@ -27,30 +27,31 @@
     relative_error_ += error_step * (std::abs(predict_ms(tokens) - milliseconds) / milliseconds - relative_error_);
     auto const typical = static_cast<double>(tokens) / milliseconds;
     // The first guess may be wrong several times over.
-    auto const change = std::max(knobs_.typical_step, knobs_.first_step / (1 + typical_readings_++ / halving_readings));
+    auto const change =
+        std::max(parameters_.typical_step, parameters_.first_step / (1 + typical_readings_++ / halving_readings));
     typical_rate_ *= typical > typical_rate_ ? 1 + change : 1 / (1 + change);
-    if (tokens <= knobs_.short_tokens)
+    if (tokens <= parameters_.short_tokens)
         note_fixed(milliseconds);
-    if (tokens >= knobs_.long_tokens && milliseconds > fixed_ms_)
+    if (tokens >= parameters_.long_tokens && milliseconds > fixed_ms_)
         note_rate(static_cast<double>(tokens) / (milliseconds - fixed_ms_));
 }
 
 // Steps up and down in proportions that balance at the quantile.
-void ReadingModel::note_fixed(double milliseconds)
+void PrefillTimeModel::note_fixed(double milliseconds)
 {
     if (fixed_readings_ == 0)
         fixed_ms_ = milliseconds;
-    auto const up = knobs_.fixed_quantile;
+    auto const up = parameters_.fixed_quantile;
     auto const change = step(fixed_readings_++);
     fixed_ms_ *= milliseconds > fixed_ms_ ? 1 + change * up : 1 - change * (1 - up);
     fixed_ms_ = std::max(fixed_ms_, least_fixed_ms);
 }
 
-void ReadingModel::note_rate(double rate)
+void PrefillTimeModel::note_rate(double rate)
 {
     if (rate_readings_ == 0)
         rate_ = rate;
-    auto const up = knobs_.rate_quantile;
+    auto const up = parameters_.rate_quantile;
     auto const change = step(rate_readings_++);
     rate_ *= rate > rate_ ? 1 + change * up : 1 - change * (1 - up);
 }
--- a/src/core/admission/demand_meter.cc
+++ b/src/core/admission/demand_meter.cc
@@ -27,7 +27,7 @@
   if (elapsed < kFoldInterval) return;
   folded_at_ = context.now();
   const double seconds = ToSeconds(elapsed);
-  const double weight = 1.0 - std::exp(-seconds / ToSeconds(context.knobs().demand_smoothing));
+  const double weight = 1.0 - std::exp(-seconds / ToSeconds(context.parameters().demand_smoothing));
   for (auto& [model, state] : models_) {
     OfferedWork& rate = state.per_second;
     rate.prefill_tokens = Smooth(rate.prefill_tokens, state.since_fold.prefill_tokens / seconds, weight);
--- a/src/core/authority/lease_keeper.cc
+++ b/src/core/authority/lease_keeper.cc
@@ -38,7 +38,7 @@
 }
 
 void LeaseKeeper::BackOff(NodeContext& context) {
-  next_try_ = context.now() + context.random().DurationBelow(context.knobs().candidate_jitter);
+  next_try_ = context.now() + context.random().DurationBelow(context.parameters().candidate_jitter);
 }
 
 void LeaseKeeper::Advance(NodeContext& context, LeaseVoter& voter) {
@@ -103,7 +103,7 @@
   }
   seals_[reply.sealed_view].replied.insert(sender);
   // The rest of the lease runs on the seat's clock; the margin covers its rate.
-  wait_until_ = std::max(wait_until_, context.now() + reply.lease_remaining + context.knobs().lease_margin);
+  wait_until_ = std::max(wait_until_, context.now() + reply.lease_remaining + context.parameters().lease_margin);
 }
 
 void LeaseKeeper::CheckSealed(NodeContext& context) {
@@ -118,7 +118,7 @@
   }
   // Nobody remembers what the lost seats promised: wait out the longest lease.
   if (lost_needed) {
-    const Duration longest = context.knobs().lease_length + context.knobs().lease_margin;
+    const Duration longest = context.parameters().lease_length + context.parameters().lease_margin;
     wait_until_ = std::max(wait_until_, context.now() + longest);
   }
   phase_ = Phase::kWaiting;
@@ -135,7 +135,7 @@
   ++round_;
   round_sent_at_ = context.now();
   round_grants_.clear();
-  const LeaseRequest request{view_.current.number, ballot_, round_, context.knobs().lease_length};
+  const LeaseRequest request{view_.current.number, ballot_, round_, context.parameters().lease_length};
   for (const NodeIncarnation& seat : view_.current.seats) {
     if (seat == context.self().incarnation) {
       OnLeaseReply(context, seat, voter.OnRequest(context, seat, request, view_.current.number, has_seat_));
@@ -156,7 +156,7 @@
 void LeaseKeeper::CountGrant(NodeContext& context, const NodeIncarnation& sender) {
   round_grants_.insert(sender);
   if (round_grants_.size() < view_.current.Majority()) return;
-  const Time until = round_sent_at_ + context.knobs().lease_length - context.knobs().lease_margin;
+  const Time until = round_sent_at_ + context.parameters().lease_length - context.parameters().lease_margin;
   if (context.now() >= until) return;
   held_until_ = std::max(held_until_, until);
   promised_until_ = held_until_;
@@ -179,7 +179,7 @@
     BackOff(context);
     return;
   }
-  if (context.now() - round_sent_at_ >= context.knobs().lease_renewal) SendRound(context, voter);
+  if (context.now() - round_sent_at_ >= context.parameters().lease_renewal) SendRound(context, voter);
 }
 
 void LeaseKeeper::Release(NodeContext& context, LeaseVoter& voter) {
--- a/src/core/authority/view_keeper.cc
+++ b/src/core/authority/view_keeper.cc
@@ -30,7 +30,7 @@
 bool ViewKeeper::InContact(const NodeContext& context, const Membership& membership) const {
   std::size_t heard = 0;
   for (const NodeIncarnation& seat : view_.current.seats) {
-    if (membership.HeardWithin(context, seat, context.knobs().contact_timeout)) ++heard;
+    if (membership.HeardWithin(context, seat, context.parameters().contact_timeout)) ++heard;
   }
   return has_view() && heard >= view_.current.Majority();
 }
@@ -42,7 +42,7 @@
     return false;
   }
   const Time since = unlisted_since_.try_emplace(seat, context.now()).first->second;
-  return context.now() - since >= context.knobs().record_window;
+  return context.now() - since >= context.parameters().record_window;
 }
 
 std::vector<ViewMember> ViewKeeper::WantedMembers(const NodeContext& context, const ViewSituation& situation) const {
@@ -57,7 +57,7 @@
 bool ViewKeeper::MajorityAccounted(const NodeContext& context, const ViewSituation& situation) {
   std::size_t accounted = 0;
   for (const NodeIncarnation& seat : view_.current.seats) {
-    const bool heard = situation.membership->HeardWithin(context, seat, context.knobs().contact_timeout);
+    const bool heard = situation.membership->HeardWithin(context, seat, context.parameters().contact_timeout);
     if (heard || IsLost(context, seat, situation)) ++accounted;
   }
   return accounted >= view_.current.Majority();
@@ -69,10 +69,10 @@
   if (!has_view()) return lowest_alive;
   if (!InContact(context, *situation.membership)) return lowest_alive && MajorityAccounted(context, situation);
   // While records are in transit a further change would only pile up work.
-  const bool settled = situation.all_settled ||
-                       context.now() - adopted_at_ >= context.knobs().record_window + context.knobs().contact_timeout;
+  const bool settled = situation.all_settled || context.now() - adopted_at_ >= context.parameters().record_window +
+                                                                                   context.parameters().contact_timeout;
   const bool seats_suffer = std::any_of(view_.current.seats.begin(), view_.current.seats.end(), [&](const auto& seat) {
-    return !situation.membership->HeardWithin(context, seat, context.knobs().contact_timeout);
+    return !situation.membership->HeardWithin(context, seat, context.parameters().contact_timeout);
   });
   if (!settled && !seats_suffer) return false;
   return situation.is_leader || (!situation.leader_known && is_member(context));
@@ -100,12 +100,12 @@
     wanted_since_ = context.now();
   }
   const bool busy = read_.has_value() || write_.has_value() || context.now() < next_proposal_;
-  const bool stable = context.now() - wanted_since_ >= context.knobs().view_settle_time;
+  const bool stable = context.now() - wanted_since_ >= context.parameters().view_settle_time;
   if (busy || !stable || wanted_.empty() || wanted_ == view_.current.members) return;
   if (!MayPropose(context, situation)) return;
   const bool read_is_fresh = read_done_.has_value() && context.now() - read_done_->at < kReadStaysFresh;
   if (read_is_fresh) {
-    proposal_ = NextView(wanted_, situation, static_cast<std::size_t>(context.knobs().seats));
+    proposal_ = NextView(wanted_, situation, static_cast<std::size_t>(context.parameters().seats));
     WriteProposal(context);
     return;
   }
@@ -114,8 +114,8 @@
 }
 
 void ViewKeeper::WriteProposal(NodeContext& context) {
-  next_proposal_ = context.now() + context.knobs().view_proposal_pause +
-                   context.random().DurationBelow(context.knobs().candidate_jitter);
+  next_proposal_ = context.now() + context.parameters().view_proposal_pause +
+                   context.random().DurationBelow(context.parameters().candidate_jitter);
   const std::string nonce = fmt::format("{:x}-{:x}", context.self().incarnation.boot.value, context.random().Bits());
   context.Log(EventId::kViewProposed, fmt::format("view {}", proposal_->current.number));
   write_.emplace(context, kViewKey, read_done_->version, SerializeView(*proposal_, nonce), nonce, kWriteGiveUp);
--- a/src/core/bundle/bundle_ledger.cc
+++ b/src/core/bundle/bundle_ledger.cc
@@ -266,7 +266,7 @@
       ended = Settle(context, command, &none);
     }
     const bool waited =
-        command.step == Step::kSpread && context.now() - command.spread_since >= context.knobs().accept_wait;
+        command.step == Step::kSpread && context.now() - command.spread_since >= context.parameters().accept_wait;
     if (waited) ended = Accept(context, command, command.rolled.generation, "");
     entry = ended ? commands_.erase(entry) : std::next(entry);
   }
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -7,7 +7,7 @@
 
 #include "src/base/random.h"
 #include "src/core/actions.h"
-#include "src/core/knobs.h"
+#include "src/core/parameters.h"
 
 namespace saltquay {
 
@@ -19,11 +19,11 @@
 
 class NodeContext {
  public:
-  NodeContext(const NodeIdentity& self, const Knobs& knobs, std::uint64_t seed)
-      : self_(self), knobs_(knobs), random_(seed) {}
+  NodeContext(const NodeIdentity& self, const Parameters& parameters, std::uint64_t seed)
+      : self_(self), parameters_(parameters), random_(seed) {}
 
   const NodeIdentity& self() const { return self_; }
-  const Knobs& knobs() const { return knobs_; }
+  const Parameters& parameters() const { return parameters_; }
   Random& random() { return random_; }
   Time now() const { return now_; }
 
@@ -49,7 +49,7 @@
 
  private:
   NodeIdentity self_;
-  Knobs knobs_;
+  Parameters parameters_;
   Random random_;
   Time now_{};
   ActionList* actions_ = nullptr;
--- a/src/core/dispatch/claim_client.cc
+++ b/src/core/dispatch/claim_client.cc
@@ -53,7 +53,7 @@
   }
   pending.replies[sender] = reply;
   // A decision this late could outlive the recorders' memory; OnTick ends it.
-  if (context.now() - pending.started_at >= context.knobs().claim_send_limit) return std::nullopt;
+  if (context.now() - pending.started_at >= context.parameters().claim_send_limit) return std::nullopt;
   std::optional<ClaimResult> result = Decide(pending);
   if (result.has_value()) pending_.erase(entry);
   return result;
@@ -63,7 +63,7 @@
   std::vector<ClaimResult> results;
   for (auto entry = pending_.begin(); entry != pending_.end();) {
     Pending& pending = entry->second;
-    if (context.now() - pending.started_at >= context.knobs().claim_send_limit) {
+    if (context.now() - pending.started_at >= context.parameters().claim_send_limit) {
       ClaimResult result{pending.claim.id, ClaimResult::Kind::kUnavailable, {}};
       for (const auto& [recorder, reply] : pending.replies) {
         if (reply.verdict != ClaimVerdict::kExists) continue;
@@ -79,7 +79,7 @@
       pending.recorders = RecordersOf(view.current, pending.claim.key);
       pending.replies.clear();
       Send(context, pending);
-    } else if (context.now() - pending.sent_at >= context.knobs().record_retry) {
+    } else if (context.now() - pending.sent_at >= context.parameters().record_retry) {
       Send(context, pending);
     }
     ++entry;
--- a/src/core/dispatch/dispatcher.cc
+++ b/src/core/dispatch/dispatcher.cc
@@ -19,8 +19,10 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(const Knobs& knobs, LoadTable& table, PrefixIndex& prefixes)
-    : table_(table), prefixes_(prefixes), retry_budget_(knobs.retry_budget_ratio, knobs.retry_budget_minimum) {}
+Dispatcher::Dispatcher(const Parameters& parameters, LoadTable& table, PrefixIndex& prefixes)
+    : table_(table),
+      prefixes_(prefixes),
+      retry_budget_(parameters.retry_budget_ratio, parameters.retry_budget_minimum) {}
 
 ActiveRequest* Dispatcher::Find(RequestHandle handle) {
   const auto entry = requests_.find(handle);
@@ -29,7 +31,7 @@
 
 std::optional<Dispatcher::Refusal> Dispatcher::Check(const NodeContext& context, const ServingState& state,
                                                      const RequestSpec& spec) const {
-  const Duration retry_after = context.knobs().shed_retry_after;
+  const Duration retry_after = context.parameters().shed_retry_after;
   if (state.stopping || !state.ready || state.bundle == nullptr) {
     return Refusal{MakeError(ErrorKind::kNotReady, "this node does not serve now; use another node"), retry_after};
   }
@@ -112,17 +114,17 @@
     return Refusal{
         MakeError(ErrorKind::kNoEngine,
                   fmt::format("no engine serves model '{}' now; come back after retry_after", request.spec.model)),
-        context.knobs().shed_retry_after};
+        context.parameters().shed_retry_after};
   }
   const Duration limit = std::min(request.request_class->first_token, request.deadline_at - context.now());
   // Lower priorities are shed at a lower prediction, so that they give way.
   const bool urgent = request.spec.priority > 0;
-  const double share = urgent ? 1.0 : context.knobs().shed_deadline_share;
+  const double share = urgent ? 1.0 : context.parameters().shed_deadline_share;
   const Duration allowed = FromSeconds(ToSeconds(limit) * share);
   const Duration whole = route->first_token + route->between_tokens * request.spec.max_output_tokens;
   const bool too_late = route->first_token > allowed || whole > request.deadline_at - context.now();
   if (!too_late) return std::nullopt;
-  const Duration retry_after = std::max(context.knobs().shed_retry_after, route->first_token - allowed);
+  const Duration retry_after = std::max(context.parameters().shed_retry_after, route->first_token - allowed);
   return Refusal{MakeError(ErrorKind::kOverloaded, "the engines are full; come back after retry_after"), retry_after};
 }
 
@@ -149,7 +151,7 @@
 void Dispatcher::OnRequest(NodeContext& context, const ServingState& state, const CallerRequest& event) {
   std::optional<Refusal> refusal = Check(context, state, event.spec);
   if (refusal.has_value()) return Refuse(context, event, *refusal);
-  const bool once = !event.spec.repeatable && context.knobs().protections.at_most_once_records;
+  const bool once = !event.spec.repeatable && context.parameters().protections.at_most_once_records;
   refusal = AdmitTenant(context, state, event.spec);
   const bool tenant_admitted = !refusal.has_value();
   if (refusal.has_value() && !once) return Refuse(context, event, *refusal);
--- a/src/core/dispatch/dispatcher.h
+++ b/src/core/dispatch/dispatcher.h
@@ -58,7 +58,7 @@
 
 class Dispatcher {
  public:
-  Dispatcher(const Knobs& knobs, LoadTable& table, PrefixIndex& prefixes);
+  Dispatcher(const Parameters& parameters, LoadTable& table, PrefixIndex& prefixes);
 
   void OnRequest(NodeContext& context, const ServingState& state, const CallerRequest& request);
   void OnCallerGone(NodeContext& context, const ServingState& state, RequestHandle handle);
--- a/src/core/dispatch/dispatcher_once.cc
+++ b/src/core/dispatch/dispatcher_once.cc
@@ -58,7 +58,7 @@
          Refusal{MakeError(ErrorKind::kNotReady,
                            "the at-most-once records do not answer; nothing was sent; send again with the same "
                            "idempotency key after retry_after"),
-                 context.knobs().shed_retry_after});
+                 context.parameters().shed_retry_after});
 }
 
 void Dispatcher::BeginJoin(NodeContext& context, const ServingState& state, ActiveRequest& request,
@@ -155,10 +155,10 @@
   request.claim = ClaimId{};
   const std::optional<Route> route = router_.Choose(context, table_, prefixes_, MakeRouteRequest(request));
   std::optional<Refusal> refusal = ShedReason(context, request, route);
-  const bool spent = request.attempt_number >= static_cast<std::uint32_t>(context.knobs().max_attempts);
+  const bool spent = request.attempt_number >= static_cast<std::uint32_t>(context.parameters().max_attempts);
   if (!refusal.has_value() && (spent || !retry_budget_.TryTake())) {
     refusal = Refusal{MakeError(ErrorKind::kNoEngine, "no engine took it; come back after retry_after"),
-                      context.knobs().shed_retry_after};
+                      context.parameters().shed_retry_after};
   }
   // Even to refuse it the key is claimed again: only that proves that no other
   // submission has run it in the meantime.
--- a/src/core/dispatch/dispatcher_progress.cc
+++ b/src/core/dispatch/dispatcher_progress.cc
@@ -17,7 +17,7 @@
 
 ActiveRequest* Dispatcher::MatchFrame(NodeContext& context, const EngineFrameReceived& event) {
   const EngineFrame& frame = event.frame;
-  if (!context.knobs().protections.frame_matching) {
+  if (!context.parameters().protections.frame_matching) {
     for (auto& [handle, request] : requests_) {
       if (request.phase == RequestPhase::kRunning && request.route.engine == event.engine) return &request;
     }
@@ -67,7 +67,7 @@
   table_.NoteSuccess(context, request.route.engine);
   if (frame.finish == FinishReason::kPrefillDone) return ContinueWithDecode(context, state, request);
   const bool whole = frame.finish == FinishReason::kLength &&
-                     (frame.total_tokens == request.delivered || !context.knobs().protections.frame_matching);
+                     (frame.total_tokens == request.delivered || !context.parameters().protections.frame_matching);
   if (whole) return Complete(context, state, request);
   OnBroken(context, state, request);
 }
@@ -88,8 +88,8 @@
   EndAttempt(context, request, true);
   request.kv.reset();
   const Outcome given_up = request.maybe_ran ? Outcome::kUnknown : Outcome::kNotRun;
-  const Duration retry_after = context.knobs().shed_retry_after;
-  const bool spent = request.attempts >= static_cast<std::uint32_t>(context.knobs().max_attempts);
+  const Duration retry_after = context.parameters().shed_retry_after;
+  const bool spent = request.attempts >= static_cast<std::uint32_t>(context.parameters().max_attempts);
   if (spent || !retry_budget_.TryTake()) {
     return Finish(context, state, request.handle, given_up,
                   Refusal{MakeError(ErrorKind::kNoEngine, fmt::format("{}, and no retry is left; come back after "
@@ -116,20 +116,20 @@
 void Dispatcher::BeginResume(NodeContext& context, ActiveRequest& request) {
   if (request.phase != RequestPhase::kResuming) request.resume_started_at = context.now();
   request.phase = RequestPhase::kResuming;
-  request.next_step_at = context.now() + context.knobs().resume_interval;
+  request.next_step_at = context.now() + context.parameters().resume_interval;
   context.Emit(ResumeAttempt{request.route.engine, request.route.boot, request.attempt, request.delivered});
 }
 
 void Dispatcher::OnBroken(NodeContext& context, const ServingState& state, ActiveRequest& request) {
   if (!request.spec.repeatable) {
-    if (!context.knobs().protections.outcome_proof) {
+    if (!context.parameters().protections.outcome_proof) {
       return Finish(context, state, request.handle, Outcome::kNotRun,
                     Refusal{MakeError(ErrorKind::kNoEngine, "the stream broke; try again"), std::nullopt});
     }
     if (request.phase != RequestPhase::kResuming) BeginResume(context, request);
     return;
   }
-  table_.NoteFailure(context, request.route.engine);
+  table_.RecordFailure(context, request.route.engine);
   request.avoid.insert(request.route.engine);
   Retry(context, state, request, "its engine broke off");
 }
@@ -139,9 +139,9 @@
   ActiveRequest* request = entry == attempts_.end() ? nullptr : Find(entry->second);
   if (request == nullptr || request->route.engine != event.engine) return;
   if (event.failure == AttemptFailure::kBroken) return OnBroken(context, state, *request);
-  if (event.failure == AttemptFailure::kNotSent) table_.NoteFailure(context, event.engine);
+  if (event.failure == AttemptFailure::kNotSent) table_.RecordFailure(context, event.engine);
   request->avoid.insert(event.engine);
-  const bool once = !request->spec.repeatable && context.knobs().protections.at_most_once_records;
+  const bool once = !request->spec.repeatable && context.parameters().protections.at_most_once_records;
   if (once) return OnOnceFailed(context, state, *request, event.failure);
   const bool proved = event.failure != AttemptFailure::kOtherBoot;
   if (proved) request->maybe_ran = request->earlier_maybe_ran;
@@ -151,7 +151,7 @@
 bool Dispatcher::IsStalled(const NodeContext& context, const ActiveRequest& request) const {
   const Duration waited = context.now() - request.progress_at;
   const Duration expected = request.first_frame_seen ? request.route.between_tokens : request.route.first_token;
-  return waited > std::max(context.knobs().stall_timeout, expected * kFirstFrameSlack);
+  return waited > std::max(context.parameters().stall_timeout, expected * kFirstFrameSlack);
 }
 
 void Dispatcher::CheckTime(NodeContext& context, const ServingState& state, ActiveRequest& request) {
@@ -159,10 +159,10 @@
     // Without the recorders' word an earlier submission of the key may have run.
     const bool alone = request.spec.repeatable || (request.spec.first_submission && request.replaces.number == 0);
     const bool proved = !request.maybe_ran && request.phase != RequestPhase::kJoining && alone;
-    const bool honest = context.knobs().protections.outcome_proof;
+    const bool honest = context.parameters().protections.outcome_proof;
     return Finish(context, state, request.handle, proved || !honest ? Outcome::kNotRun : Outcome::kUnknown,
                   Refusal{MakeError(ErrorKind::kDeadlineExceeded, "the deadline passed; allow more time"),
-                          context.knobs().shed_retry_after});
+                          context.parameters().shed_retry_after});
   }
   switch (request.phase) {
     case RequestPhase::kClaiming:
@@ -195,7 +195,7 @@
     if (request != nullptr) CheckTime(context, state, *request);
   }
   std::erase_if(answers_, [&](const auto& entry) {
-    return context.now() - entry.second.finished_at >= context.knobs().record_window;
+    return context.now() - entry.second.finished_at >= context.parameters().record_window;
   });
 }
 
--- a/src/core/dispatch/record_keeper.cc
+++ b/src/core/dispatch/record_keeper.cc
@@ -26,7 +26,7 @@
 
 bool RecordKeeper::WindowPassed(const NodeContext& context, const MemberSet& predecessor) const {
   // Old recorders stop within contact_timeout; their last record then ages.
-  const Duration longest = context.knobs().record_window + context.knobs().contact_timeout * 2;
+  const Duration longest = context.parameters().record_window + context.parameters().contact_timeout * 2;
   return context.now() - replaced_since_.at(predecessor.number) >= longest;
 }
 
@@ -72,7 +72,7 @@
   if (settled_view_ == view_.current.number) return;
   CheckSettled(context);
   if (context.now() < next_transfer_request_) return;
-  next_transfer_request_ = context.now() + context.knobs().record_retry * 2;
+  next_transfer_request_ = context.now() + context.parameters().record_retry * 2;
   std::set<NodeIncarnation> asked;
   for (const MemberSet& set : view_.predecessors) {
     for (const ViewMember& member : set.members) {
@@ -84,11 +84,11 @@
 }
 
 void RecordKeeper::Forget(const NodeContext& context) {
-  while (!expiry_.empty() && context.now() - expiry_.front().first >= context.knobs().record_window) {
+  while (!expiry_.empty() && context.now() - expiry_.front().first >= context.parameters().record_window) {
     const auto entry = records_.find(expiry_.front().second);
     if (entry != records_.end()) {
       std::erase_if(entry->second, [&](const Record& record) {
-        return context.now() - record.recorded_at >= context.knobs().record_window;
+        return context.now() - record.recorded_at >= context.parameters().record_window;
       });
       if (entry->second.empty()) records_.erase(entry);
     }
@@ -157,7 +157,8 @@
       if (std::find(recorders.begin(), recorders.end(), sender) == recorders.end()) continue;
     }
     for (const Record& record : records) {
-      if (context.now() - record.recorded_at < context.knobs().record_window) transfer.records.push_back(record.claim);
+      if (context.now() - record.recorded_at < context.parameters().record_window)
+        transfer.records.push_back(record.claim);
     }
   }
   return transfer;
--- a/src/core/dissemination/store_watcher.cc
+++ b/src/core/dissemination/store_watcher.cc
@@ -19,15 +19,16 @@
   const std::vector<NodeId> peers = membership.AlivePeersInZone(context.self().zone);
   const auto above = std::count_if(peers.begin(), peers.end(),
                                    [&](NodeId peer) { return HashPair(kWatcherRankSeed, peer.value) > own_rank; });
-  return above < context.knobs().store_watchers_per_zone;
+  return above < context.parameters().store_watchers_per_zone;
 }
 
 void StoreWatcher::PollObject(NodeContext& context, Poll& poll, const char* key, bool wanted) {
-  const bool waiting = poll.operation.has_value() && context.now() - poll.sent_at < context.knobs().store_timeout * 2;
+  const bool waiting =
+      poll.operation.has_value() && context.now() - poll.sent_at < context.parameters().store_timeout * 2;
   if (!wanted || waiting || context.now() < poll.next_at) return;
   poll.operation = context.NextStoreOperation();
   poll.sent_at = context.now();
-  poll.next_at = context.now() + context.knobs().store_poll_interval;
+  poll.next_at = context.now() + context.parameters().store_poll_interval;
   context.Emit(StoreRead{*poll.operation, key});
 }
 
@@ -35,12 +36,12 @@
   is_watcher_ = RanksAsWatcher(context, membership);
   PollObject(context, rolled_, kRolledKey, is_watcher_ || !has_read_rolled_);
   PollObject(context, view_, kViewKey, is_watcher_ || !has_read_view_);
-  const bool waiting = machines_pending_ && context.now() - machines_sent_at_ < context.knobs().store_timeout * 2;
+  const bool waiting = machines_pending_ && context.now() - machines_sent_at_ < context.parameters().store_timeout * 2;
   const bool wanted = is_watcher_ || !has_read_machines_;
   if (!wanted || waiting || context.now() < machines_next_at_) return;
   machines_pending_ = true;
   machines_sent_at_ = context.now();
-  machines_next_at_ = context.now() + context.knobs().machine_poll_interval;
+  machines_next_at_ = context.now() + context.parameters().machine_poll_interval;
   context.Emit(ReadMachineList{});
 }
 
--- a/src/core/dissemination/versioned_objects.cc
+++ b/src/core/dissemination/versioned_objects.cc
@@ -15,7 +15,7 @@
 bool VersionedObjects::Offer(const NodeContext& context, ObjectKind kind, const ObjectVersion& version,
                              const std::string& bytes) {
   VersionedObject& present = objects_[static_cast<std::size_t>(kind)];
-  const bool guarded = context.knobs().protections.newest_object_wins;
+  const bool guarded = context.parameters().protections.newest_object_wins;
   const bool taken = guarded ? IsNewer(version, present.version) : version != present.version;
   if (!taken) return false;
   present = VersionedObject{version, bytes};
@@ -44,7 +44,7 @@
 void VersionedObjects::OnDigests(NodeContext& context, NodeId sender, const std::vector<ObjectDigest>& digests) {
   for (const ObjectDigest& digest : digests) {
     const std::size_t index = static_cast<std::size_t>(digest.kind);
-    const bool guarded = context.knobs().protections.newest_object_wins;
+    const bool guarded = context.parameters().protections.newest_object_wins;
     const ObjectVersion& present = objects_[index].version;
     if (guarded ? !IsNewer(digest.version, present) : digest.version == present) continue;
     std::optional<PendingPull>& pull = pulls_[index];
--- a/src/core/events.h
+++ b/src/core/events.h
@@ -13,7 +13,7 @@
 
 namespace saltquay {
 
-// Time passed. The driver sends one every Knobs::tick_interval.
+// Time passed. The driver sends one every Parameters::tick_interval.
 struct Tick {};
 
 struct PeerMessageReceived {
--- a/src/core/membership/membership.cc
+++ b/src/core/membership/membership.cc
@@ -101,7 +101,7 @@
   std::stable_sort(fresh.begin(), fresh.end(), [](const Member* left, const Member* right) {
     return left->transmissions_left > right->transmissions_left;
   });
-  const std::size_t count = std::min(fresh.size(), static_cast<std::size_t>(context.knobs().updates_per_probe));
+  const std::size_t count = std::min(fresh.size(), static_cast<std::size_t>(context.parameters().updates_per_probe));
   for (std::size_t i = 0; i < count; ++i) {
     fresh[i]->transmissions_left -= 1;
     updates.push_back(fresh[i]->update);
@@ -124,7 +124,7 @@
     std::map<NodeId, bool> targets;
     for (const NodeId node : candidates_) targets[node] = true;
     for (const auto& [node, member] : members_) {
-      const bool recent = context.now() - member.state_since < context.knobs().dead_member_retention;
+      const bool recent = context.now() - member.state_since < context.parameters().dead_member_retention;
       if (IsPresent(member.update.state) || recent) targets[node] = true;
     }
     targets.erase(context.self().incarnation.node);
@@ -142,11 +142,11 @@
 void Membership::CheckPending(NodeContext& context) {
   if (!pending_.has_value() || pending_->answered) return;
   const Duration waited = context.now() - pending_->sent_at;
-  if (waited >= context.knobs().probe_timeout && !pending_->indirect_sent) {
+  if (waited >= context.parameters().probe_timeout && !pending_->indirect_sent) {
     pending_->indirect_sent = true;
     std::vector<NodeId> helpers = AlivePeers();
     std::erase(helpers, pending_->target);
-    for (int i = 0; i < context.knobs().indirect_probes && !helpers.empty(); ++i) {
+    for (int i = 0; i < context.parameters().indirect_probes && !helpers.empty(); ++i) {
       const std::size_t pick = context.random().Below(helpers.size());
       context.Send(helpers[pick], IndirectProbe{pending_->target, pending_->sequence});
       helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(pick));
@@ -157,7 +157,7 @@
 void Membership::ExpireSuspects(NodeContext& context) {
   for (auto& [node, member] : members_) {
     const bool expired = member.update.state == MemberState::kSuspect &&
-                         context.now() - member.state_since >= context.knobs().suspect_timeout;
+                         context.now() - member.state_since >= context.parameters().suspect_timeout;
     if (!expired) continue;
     MemberUpdate update = member.update;
     update.state = MemberState::kDead;
@@ -169,7 +169,7 @@
   CheckPending(context);
   ExpireSuspects(context);
   if (context.now() < next_probe_) return;
-  next_probe_ = context.now() + context.knobs().probe_interval;
+  next_probe_ = context.now() + context.parameters().probe_interval;
   if (pending_.has_value() && !pending_->answered) {
     const auto silent = members_.find(pending_->target);
     if (silent != members_.end() && silent->second.update.state == MemberState::kAlive) {
@@ -251,7 +251,7 @@
   for (const auto& [node, member] : members_) {
     // Hearing a node is better evidence than any rumour of its death.
     const bool heard = member.update.state == MemberState::kDead &&
-                       HeardWithin(context, member.update.node, context.knobs().contact_timeout);
+                       HeardWithin(context, member.update.node, context.parameters().contact_timeout);
     if (IsPresent(member.update.state) || heard) alive.push_back(member.update);
   }
   if (!leaving_) alive.push_back({context.self().incarnation, context.self().zone, MemberState::kAlive, 0});
--- a/src/core/node.cc
+++ b/src/core/node.cc
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-Node::Node(const NodeIdentity& identity, const Knobs& knobs, std::uint64_t seed)
-    : context_(identity, knobs, seed),
-      prefixes_(knobs.prefix_index_blocks / kEnginesForIndexShare),
-      dispatcher_(knobs, table_, prefixes_) {}
+Node::Node(const NodeIdentity& identity, const Parameters& parameters, std::uint64_t seed)
+    : context_(identity, parameters, seed),
+      prefixes_(parameters.prefix_index_blocks / kEnginesForIndexShare),
+      dispatcher_(parameters, table_, prefixes_) {}
 
 void Node::SetSeeds(const std::vector<Machine>& seeds) {
   seeds_ = seeds;
@@ -150,7 +150,7 @@
   stopping_ = true;
   stopping_since_ = context_.now();
   context_.Log(EventId::kNodeStopping, fmt::format("{} requests in flight", dispatcher_.active_count()));
-  if (!context_.knobs().protections.drain_on_stop) dispatcher_.AbandonAll(context_, MakeServingState());
+  if (!context_.parameters().protections.drain_on_stop) dispatcher_.AbandonAll(context_, MakeServingState());
   UpdateReadiness();
 }
 
--- a/src/core/node.h
+++ b/src/core/node.h
@@ -52,7 +52,7 @@
 
 class Node {
  public:
-  Node(const NodeIdentity& identity, const Knobs& knobs, std::uint64_t seed);
+  Node(const NodeIdentity& identity, const Parameters& parameters, std::uint64_t seed);
 
   // Nodes to probe before the machine list is known.
   void SetSeeds(const std::vector<Machine>& seeds);
--- a/src/core/node_objects.cc
+++ b/src/core/node_objects.cc
@@ -159,7 +159,7 @@
 // sure to hear each seat several times within the limit.
 void Node::KeepSeatContact() {
   if (context_.now() < next_seat_contact_ || !view_keeper_.is_member(context_)) return;
-  const Duration interval = context_.knobs().contact_timeout / kSeatContactsPerTimeout;
+  const Duration interval = context_.parameters().contact_timeout / kSeatContactsPerTimeout;
   next_seat_contact_ = context_.now() + interval;
   for (const NodeIncarnation& seat : view_keeper_.view().current.seats) {
     if (membership_.HeardWithin(context_, seat, interval)) continue;
--- a/src/core/orders/order_executor.cc
+++ b/src/core/orders/order_executor.cc
@@ -31,7 +31,7 @@
   engines_.clear();
   announced_drains_.clear();
   announce_ = true;  // Clears what a predecessor drained.
-  next_role_plan_ = context.now() + context.knobs().role_plan_interval;
+  next_role_plan_ = context.now() + context.parameters().role_plan_interval;
 }
 
 void OrderExecutor::EndLease() {
@@ -72,7 +72,7 @@
     view.next_read = context.now() + idle_interval;
     view.next_hurried_read = context.now() + kBusyReadInterval;
     std::optional<FenceToken> fence = FenceForRead(context, view);
-    if (!context.knobs().protections.fence_raise_before_order) fence.reset();
+    if (!context.parameters().protections.fence_raise_before_order) fence.reset();
     context.Emit(ReadEngineState{id, fence, 0});
   }
   std::erase_if(engines_, [&](const auto& entry) { return !table.engines().contains(entry.first); });
@@ -80,7 +80,7 @@
 
 void OrderExecutor::OnStateRead(NodeContext& context, const LeaseKeeper& lease, const EngineStateRead& read) {
   if (!lease_token_.has_value() || !lease.Holds(context) || !read.state.has_value()) return;
-  const bool raised = read.state->fence >= *lease_token_ || !context.knobs().protections.fence_raise_before_order;
+  const bool raised = read.state->fence >= *lease_token_ || !context.parameters().protections.fence_raise_before_order;
   const auto entry = engines_.find(read.engine);
   if (entry == engines_.end() || !raised) return;
   EngineView& view = entry->second;
@@ -181,8 +181,8 @@
     const EngineState& state = *view.state;
     const bool role_known = pool.is_split() ? state.role != EngineRole::kWhole : state.role == EngineRole::kWhole;
     const bool fits = state.model_version == model.version_id() && role_known;
-    const bool busy = state.order_in_progress && context.knobs().protections.wait_for_order_in_progress;
-    if (fits || busy || LoadsUnderWay() >= context.knobs().weight_loads_under_way) continue;
+    const bool busy = state.order_in_progress && context.parameters().protections.wait_for_order_in_progress;
+    if (fits || busy || LoadsUnderWay() >= context.parameters().weight_loads_under_way) continue;
     const bool serving = IsLoaded(state);
     if (serving && out_of_service >= out_of_service_limit) continue;
     if (serving) ++out_of_service;
@@ -194,7 +194,7 @@
 void OrderExecutor::PlanRoles(NodeContext& context, const std::vector<const EngineEntry*>& engines,
                               const LoadTable& table, const RolledBundle& bundle, const PoolDeclaration& pool,
                               const ModelDeclaration& model, const std::vector<ModelDemand>& demands) {
-  if (ChangesUnderWay(engines) >= context.knobs().role_changes_under_way) return;
+  if (ChangesUnderWay(engines) >= context.parameters().role_changes_under_way) return;
   Duration between_tokens = Duration::max();
   for (const ClassDeclaration& row : bundle.bundle->classes) {
     between_tokens = std::min(between_tokens, row.between_tokens);
@@ -229,15 +229,16 @@
 
 void OrderExecutor::SendOrderIfIdle(NodeContext& context, const LeaseKeeper& lease, EngineId engine, EngineView& view) {
   const Change& change = *view.change;
-  const bool guarded = context.knobs().protections.drain_before_order;
+  const bool guarded = context.parameters().protections.drain_before_order;
   if (!view.state.has_value()) return;
-  if (view.state->order_in_progress && context.knobs().protections.wait_for_order_in_progress) return;
+  if (view.state->order_in_progress && context.parameters().protections.wait_for_order_in_progress) return;
   const EngineState& state = *view.state;
-  const bool drained = !IsLoaded(state) || context.now() - change.began_at >= context.knobs().drain_settle;
+  const bool drained = !IsLoaded(state) || context.now() - change.began_at >= context.parameters().drain_settle;
   const bool idle = state.running == 0 && state.waiting == 0;
-  const bool fresh = context.now() - view.read_at < context.knobs().order_validity / 2;
+  const bool fresh = context.now() - view.read_at < context.parameters().order_validity / 2;
   if (guarded && (!drained || !idle || !fresh)) return;
-  if (!lease.Holds(context, context.knobs().order_validity) && context.knobs().protections.lease_check_before_order) {
+  if (!lease.Holds(context, context.parameters().order_validity) &&
+      context.parameters().protections.lease_check_before_order) {
     return;
   }
   EngineOrder order;
@@ -249,7 +250,7 @@
   order.adapters = change.model->adapters;
   order.generation = change.generation;
   order.quoted_stamp_us = state.clock_stamp_us;
-  if (context.knobs().protections.order_validity_limit) order.validity = context.knobs().order_validity;
+  if (context.parameters().protections.order_validity_limit) order.validity = context.parameters().order_validity;
   order.only_when_idle = guarded;
   if (change.is_role_change && change.order == FenceToken{}) ++role_changes_;
   view.change->order = order.token;
@@ -267,7 +268,7 @@
     if (!view.change.has_value()) continue;
     const Change& change = *view.change;
     const Duration age = context.now() - change.began_at;
-    const bool stuck = age >= (change.step == Step::kDraining ? context.knobs().drain_limit : kChangeTimeout * 2);
+    const bool stuck = age >= (change.step == Step::kDraining ? context.parameters().drain_limit : kChangeTimeout * 2);
     if (stuck) {
       context.Log(EventId::kOrderAbandoned, fmt::format("engine {}", engine.value));
       view.rest_until = context.now() + kRestAfterAbandon;
@@ -315,7 +316,7 @@
     plan_bundle_ = bundle->bundle;
   }
   for (const PoolDeclaration& pool : bundle->bundle->pools) PlanPool(context, table, *bundle, pool, demands);
-  if (context.now() >= next_role_plan_) next_role_plan_ = context.now() + context.knobs().role_plan_interval;
+  if (context.now() >= next_role_plan_) next_role_plan_ = context.now() + context.parameters().role_plan_interval;
   AdvanceChanges(context, lease);
   std::set<EngineId> drains;
   for (const auto& [engine, view] : engines_) {
--- a/src/core/knobs.h
+++ b/src/core/parameters.h
@@ -25,7 +25,7 @@
   bool drain_on_stop = true;
 };
 
-struct Knobs {
+struct Parameters {
   Duration tick_interval = 50ms;
 
   // Membership.
--- a/src/core/roles/role_planner.cc
+++ b/src/core/roles/role_planner.cc
@@ -51,11 +51,11 @@
 }
 
 double RolePlanner::Threshold(const NodeContext& context, const std::string& pool, EngineRole to) const {
-  const double threshold = context.knobs().role_gain_threshold;
+  const double threshold = context.parameters().role_gain_threshold;
   const auto last = last_change_.find(pool);
   const bool turns_back = last != last_change_.end() && last->second.role != to &&
-                          context.now() - last->second.at < context.knobs().role_reversal_window;
-  return turns_back ? threshold * context.knobs().role_reversal_factor : threshold;
+                          context.now() - last->second.at < context.parameters().role_reversal_window;
+  return turns_back ? threshold * context.parameters().role_reversal_factor : threshold;
 }
 
 void RolePlanner::NoteChange(const NodeContext& context, const std::string& pool, EngineId engine, EngineRole role) {
@@ -65,11 +65,11 @@
 
 bool RolePlanner::Cooling(const NodeContext& context, const std::string& pool, EngineId engine) const {
   const auto pool_change = last_change_.find(pool);
-  const bool pool_cooling =
-      pool_change != last_change_.end() && context.now() - pool_change->second.at < context.knobs().role_pool_cooldown;
+  const bool pool_cooling = pool_change != last_change_.end() &&
+                            context.now() - pool_change->second.at < context.parameters().role_pool_cooldown;
   const auto engine_change = engine_changed_at_.find(engine);
   const bool engine_cooling = engine_change != engine_changed_at_.end() &&
-                              context.now() - engine_change->second < context.knobs().role_engine_cooldown;
+                              context.now() - engine_change->second < context.parameters().role_engine_cooldown;
   return pool_cooling || engine_cooling;
 }
 
@@ -97,14 +97,14 @@
 
 std::optional<RoleChange> RolePlanner::Plan(const NodeContext& context, const PoolDeclaration& pool,
                                             const PoolDemand& demand, const std::vector<PlannedEngine>& engines) {
-  if (!context.knobs().role_control || !pool.is_split()) return std::nullopt;
+  if (!context.parameters().role_control || !pool.is_split()) return std::nullopt;
   int prefill = 0;
   int decode = 0;
   for (const PlannedEngine& engine : engines) {
     if (engine.role == EngineRole::kPrefill) ++prefill;
     if (engine.role == EngineRole::kDecode) ++decode;
   }
-  const double horizon = ToSeconds(context.knobs().role_horizon);
+  const double horizon = ToSeconds(context.parameters().role_horizon);
   const double now_served = ServedWork(demand, prefill, decode);
   std::optional<RoleChange> best;
   for (const EngineRole to : {EngineRole::kPrefill, EngineRole::kDecode}) {
@@ -120,7 +120,7 @@
     const double gain = (ServedWork(demand, next_prefill, next_decode) - now_served) * horizon;
     const double use =
         from == EngineRole::kPrefill ? demand.prefill / std::max(1, prefill) : demand.decode / std::max(1, decode);
-    const double cost = ToSeconds(context.knobs().role_change_cost) * std::min(1.0, use);
+    const double cost = ToSeconds(context.parameters().role_change_cost) * std::min(1.0, use);
     if (gain <= 0 || gain < cost * Threshold(context, pool.name, to)) continue;
     const std::optional<EngineId> engine = PickEngine(context, pool, from, engines);
     if (!engine.has_value() || (best.has_value() && gain - cost <= best->gain - best->cost)) continue;
--- a/src/core/routing/load_reporter.cc
+++ b/src/core/routing/load_reporter.cc
@@ -79,7 +79,7 @@
   LoadDelta delta;
   for (const auto& [id, load] : own_reads_) {
     Sent& sent = group.sent[id];
-    const bool stale = context.now() - sent.at >= context.knobs().load_expiry / 3 || sent.at == Time{};
+    const bool stale = context.now() - sent.at >= context.parameters().load_expiry / 3 || sent.at == Time{};
     if (!stale && !IsWorthSending(load, sent.load)) continue;
     sent = Sent{load, context.now()};
     delta.loads.push_back(load);
@@ -87,7 +87,7 @@
   if (delta.loads.empty()) return;
   const double bytes =
       static_cast<double>(peers.size()) * (kBytesPerEnvelope + kBytesPerLoad * static_cast<double>(delta.loads.size()));
-  const Duration pause = std::max(context.knobs().load_spread_min_interval, FromSeconds(bytes / budget));
+  const Duration pause = std::max(context.parameters().load_spread_min_interval, FromSeconds(bytes / budget));
   group.next_at = context.now() + pause;
   for (const NodeId peer : peers) context.Send(peer, delta);
 }
@@ -98,14 +98,14 @@
   for (const EngineId engine : assigned_) {
     Time& next = next_read_[engine];
     if (context.now() < next) continue;
-    next = context.now() + context.knobs().load_read_interval;
+    next = context.now() + context.parameters().load_read_interval;
     context.Emit(ReadEngineState{engine, std::nullopt, prefixes.LastSequence(engine)});
   }
   const std::vector<NodeId> zone_peers = membership.AlivePeersInZone(context.self().zone);
   std::vector<NodeId> far_peers = membership.AlivePeers();
   std::erase_if(far_peers,
                 [&](NodeId peer) { return std::find(zone_peers.begin(), zone_peers.end(), peer) != zone_peers.end(); });
-  const double budget = context.knobs().load_budget_bytes_per_second / 2;
+  const double budget = context.parameters().load_budget_bytes_per_second / 2;
   Spread(context, zone_group_, zone_peers, budget);
   Spread(context, far_group_, far_peers, budget);
 }
--- a/src/core/routing/load_table.cc
+++ b/src/core/routing/load_table.cc
@@ -65,15 +65,15 @@
   if (found != engines_.end()) found->second.own_work.erase(attempt);
 }
 
-void LoadTable::NoteFailure(NodeContext& context, EngineId engine) {
+void LoadTable::RecordFailure(NodeContext& context, EngineId engine) {
   const auto found = engines_.find(engine);
   if (found == engines_.end()) return;
   EngineEntry& entry = found->second;
   entry.consecutive_failures += 1;
-  if (entry.consecutive_failures < context.knobs().eject_after_failures) return;
-  entry.ejected_until = context.now() + context.knobs().eject_time;
+  if (entry.consecutive_failures < context.parameters().eject_after_failures) return;
+  entry.ejected_until = context.now() + context.parameters().eject_time;
   // One failure after the pause ejects again; a success clears the count.
-  entry.consecutive_failures = context.knobs().eject_after_failures - 1;
+  entry.consecutive_failures = context.parameters().eject_after_failures - 1;
   context.Log(EventId::kEngineEjected, fmt::format("engine {}", engine.value));
 }
 
@@ -88,9 +88,9 @@
 }
 
 bool LoadTable::IsUsable(const NodeContext& context, const EngineEntry& entry) const {
-  const bool leaving = entry.machine.state == MachineState::kLeaving && context.knobs().protections.leaving_filter;
+  const bool leaving = entry.machine.state == MachineState::kLeaving && context.parameters().protections.leaving_filter;
   if (leaving || !entry.load.has_value() || !entry.load->available) return false;
-  if (context.now() - entry.reported_at > context.knobs().load_expiry) return false;
+  if (context.now() - entry.reported_at > context.parameters().load_expiry) return false;
   if (context.now() < entry.ejected_until) return false;
   return !IsDraining(entry.id());
 }
@@ -123,7 +123,7 @@
 std::vector<EngineLoad> LoadTable::RecentLoads(const NodeContext& context) const {
   std::vector<EngineLoad> loads;
   for (const auto& [id, entry] : engines_) {
-    const bool recent = context.now() - entry.reported_at <= context.knobs().load_expiry;
+    const bool recent = context.now() - entry.reported_at <= context.parameters().load_expiry;
     if (entry.load.has_value() && recent) loads.push_back(*entry.load);
   }
   return loads;
--- a/src/core/routing/load_table.h
+++ b/src/core/routing/load_table.h
@@ -49,7 +49,7 @@
   void OnEnded(EngineId engine, const AttemptId& attempt);
 
   // Repeated failures eject the engine for a while; a success clears them.
-  void NoteFailure(NodeContext& context, EngineId engine);
+  void RecordFailure(NodeContext& context, EngineId engine);
   void NoteSuccess(NodeContext& context, EngineId engine);
 
   // True when new work may go to the engine.
--- a/src/core/routing/router.cc
+++ b/src/core/routing/router.cc
@@ -48,7 +48,7 @@
 double JitterSpan(const NodeContext& context, const RouteRequest& request, const Route& route) {
   const double added_by_streams =
       std::max(0.0, ToSeconds(route.between_tokens - request.pool->profile.decode_step)) * request.output_tokens;
-  return kTieSeconds + context.knobs().routing_jitter * (ToSeconds(route.first_token) + added_by_streams);
+  return kTieSeconds + context.parameters().routing_jitter * (ToSeconds(route.first_token) + added_by_streams);
 }
 
 }  // namespace
@@ -90,7 +90,7 @@
 
 double Router::BaselineScore(const NodeContext& context, const LoadTable& table, const RoutingScan& scan,
                              const RouteRequest& request, const EngineEntry& entry) const {
-  if (context.knobs().routing_policy == RoutingPolicy::kLeastOutstanding) return table.Outstanding(entry);
+  if (context.parameters().routing_policy == RoutingPolicy::kLeastOutstanding) return table.Outstanding(entry);
   // Round robin: the engine after the last one that this stage chose.
   const auto last = round_robin_.find(RoundRobinKey{request.pool->name, request.decode_in_zone});
   const std::uint32_t last_id = last == round_robin_.end() ? 0 : last->second.value;
@@ -117,7 +117,7 @@
   double step = DecodeStepSeconds(profile, streams);
   // The work joins a step that has begun; on average half of it is left.
   double first_token = (queued + uncached) / rate + kStepWait * step;
-  if (entry.machine.zone != context.self().zone) first_token += ToSeconds(context.knobs().cross_zone_penalty);
+  if (entry.machine.zone != context.self().zone) first_token += ToSeconds(context.parameters().cross_zone_penalty);
   double interference = 0;
   AttemptMode mode = import ? AttemptMode::kDecode : AttemptMode::kWhole;
   if (load.role == EngineRole::kPrefill) {
@@ -153,7 +153,7 @@
 
 std::optional<Route> Router::Choose(NodeContext& context, const LoadTable& table, const PrefixIndex& prefixes,
                                     const RouteRequest& request) {
-  const bool baseline = context.knobs().routing_policy != RoutingPolicy::kPredicted;
+  const bool baseline = context.parameters().routing_policy != RoutingPolicy::kPredicted;
   const bool short_prompt = baseline && request.prompt_tokens <= kBaselineShortPrompt;
   const bool wants_prefill = baseline && !short_prompt && request.allow_split && !request.decode_in_zone.has_value();
   const RoutingScan scan = ScanPool(context, table, request);
--- a/src/core/serving/crash_ledger.cc
+++ b/src/core/serving/crash_ledger.cc
@@ -3,32 +3,32 @@
 #include <algorithm>
 #include <utility>
 
-#include "src/core/serving/turns.h"
+#include "src/core/serving/round_robin.h"
 
 namespace saltquay::serving {
 namespace {
 
 // Entries with fewer ends are not repeated: nearly all of them were only beside an engine's end.
-constexpr std::size_t kRepeatedFrom = 2;
+constexpr std::size_t kMinCrashesToRepeat = 2;
 // What others tell seems so much later at most than it was: ages do not grow on their way between nodes.
-constexpr Duration kToldLate = 1s;
+constexpr Duration kReportDelay = 1s;
 
 }  // namespace
 
-bool CrashLedger::NoteEnd(std::uint64_t request, EngineKey engine, Time at, Time now) {
-  const bool news = AddEnd(request, engine, at, now);
+bool CrashLedger::RecordCrash(std::uint64_t request, EngineKey engine, Time at, Time now) {
+  const bool news = AddCrash(request, engine, at, now);
   const auto entry = entries_.find(request);
   if (entry != entries_.end()) entry->second.own = true;
   return news;
 }
 
-bool CrashLedger::AddEnd(std::uint64_t request, EngineKey engine, Time at, Time now) {
-  if (request == 0 || now - at > knobs_.memory) return false;
+bool CrashLedger::AddCrash(std::uint64_t request, EngineKey engine, Time at, Time now) {
+  if (request == 0 || now - at > parameters_.memory) return false;
   Entry& entry = entries_[request];
-  if (entry.cleared && at <= *entry.cleared + kToldLate) return false;
+  if (entry.cleared && at <= *entry.cleared + kReportDelay) return false;
   const auto [end, is_new] = entry.ends.emplace(engine, at);
   // A life ends once: what is told much later of it is the better time. What is a little later was on its way.
-  if (!is_new && at > end->second + kToldLate) end->second = at;
+  if (!is_new && at > end->second + kReportDelay) end->second = at;
   if (!is_new) return false;
   entry.last = std::max(entry.last, at);
   entry.changed = now;
@@ -43,8 +43,8 @@
 
 bool CrashLedger::NoteCleared(Entry& entry, Time at, Time now) {
   // The same clearance, told again.
-  if (entry.cleared && at <= *entry.cleared + kToldLate) return false;
-  std::erase_if(entry.ends, [&](const auto& end) { return end.second <= at + kToldLate; });
+  if (entry.cleared && at <= *entry.cleared + kReportDelay) return false;
+  std::erase_if(entry.ends, [&](const auto& end) { return end.second <= at + kReportDelay; });
   entry.cleared = at;
   entry.last = std::max(entry.last, at);
   entry.changed = now;
@@ -55,9 +55,9 @@
   std::vector<std::uint64_t> changed;
   for (const CrashMark& mark : marks) {
     const Time at = now - mark.age;
-    if (mark.request == 0 || mark.age > knobs_.memory) continue;
+    if (mark.request == 0 || mark.age > parameters_.memory) continue;
     const bool news =
-        mark.clears() ? NoteCleared(entries_[mark.request], at, now) : AddEnd(mark.request, mark.engine, at, now);
+        mark.clears() ? NoteCleared(entries_[mark.request], at, now) : AddCrash(mark.request, mark.engine, at, now);
     Shrink(mark.request, now);
     if (news && std::find(changed.begin(), changed.end(), mark.request) == changed.end()) {
       changed.push_back(mark.request);
@@ -71,24 +71,25 @@
   return entry == entries_.end() ? 0 : static_cast<int>(entry->second.ends.size());
 }
 
-std::optional<Duration> CrashLedger::QuarantineLeft(std::uint64_t request, Time now) const {
+std::optional<Duration> CrashLedger::QuarantineRemaining(std::uint64_t request, Time now) const {
   const auto entry = entries_.find(request);
-  if (entry == entries_.end() || static_cast<int>(entry->second.ends.size()) < knobs_.most_ends) return std::nullopt;
-  const Duration left = entry->second.last + knobs_.quarantine - now;
+  if (entry == entries_.end() || static_cast<int>(entry->second.ends.size()) < parameters_.quarantine_threshold)
+    return std::nullopt;
+  const Duration left = entry->second.last + parameters_.quarantine - now;
   if (left <= 0s) return std::nullopt;
   return left;
 }
 
-std::size_t CrashLedger::InQuarantine(Time now) const {
+std::size_t CrashLedger::QuarantinedCount(Time now) const {
   return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [&](const auto& entry) {
-    return QuarantineLeft(entry.first, now).has_value();
+    return QuarantineRemaining(entry.first, now).has_value();
   }));
 }
 
-std::vector<std::uint64_t> CrashLedger::OwnInQuarantine(Time now) const {
+std::vector<std::uint64_t> CrashLedger::LocallyObservedQuarantined(Time now) const {
   std::vector<std::uint64_t> requests;
   for (const auto& [request, entry] : entries_) {
-    if (entry.own && QuarantineLeft(request, now)) requests.push_back(request);
+    if (entry.own && QuarantineRemaining(request, now)) requests.push_back(request);
   }
   return requests;
 }
@@ -96,10 +97,10 @@
 std::vector<CrashMark> CrashLedger::QuarantineMarks(Time now) const {
   std::vector<std::pair<Time, std::uint64_t>> latest;
   for (const auto& [request, entry] : entries_) {
-    if (QuarantineLeft(request, now)) latest.emplace_back(entry.last, request);
+    if (QuarantineRemaining(request, now)) latest.emplace_back(entry.last, request);
   }
   std::sort(latest.rbegin(), latest.rend());
-  if (latest.size() > knobs_.most_kept) latest.resize(knobs_.most_kept);
+  if (latest.size() > parameters_.max_persisted_requests) latest.resize(parameters_.max_persisted_requests);
   std::vector<CrashMark> marks;
   for (const auto& [last, request] : latest) {
     for (const auto& [engine, at] : entries_.at(request).ends) marks.push_back({request, engine, now - at});
@@ -107,13 +108,13 @@
   return marks;
 }
 
-std::vector<CrashMark> CrashLedger::MarksToTell(Time now) {
+std::vector<CrashMark> CrashLedger::MarksToReport(Time now) {
   std::vector<std::pair<std::uint64_t, const Entry*>> news;
   std::vector<CrashMark> repeated;
   for (const auto& [request, entry] : entries_) {
-    if (now - entry.changed <= knobs_.news) {
+    if (now - entry.changed <= parameters_.news) {
       news.emplace_back(request, &entry);
-    } else if (entry.ends.size() >= kRepeatedFrom) {
+    } else if (entry.ends.size() >= kMinCrashesToRepeat) {
       AppendMarks(request, entry, now, repeated);
     }
   }
@@ -122,11 +123,11 @@
   });
   std::vector<CrashMark> marks;
   for (const auto& [request, entry] : news) AppendMarks(request, *entry, now, marks);
-  if (marks.size() > knobs_.most_news) marks.resize(knobs_.most_news);
+  if (marks.size() > parameters_.max_recent_marks) marks.resize(parameters_.max_recent_marks);
   std::sort(repeated.begin(), repeated.end(), [](const CrashMark& first, const CrashMark& second) {
     return std::pair(first.request, first.engine) < std::pair(second.request, second.engine);
   });
-  repeated = TakeByTurns(std::move(repeated), knobs_.repeated, next_repeated_);
+  repeated = TakeRoundRobin(std::move(repeated), parameters_.repeated, next_repeated_mark_);
   marks.insert(marks.end(), repeated.begin(), repeated.end());
   return marks;
 }
@@ -138,8 +139,8 @@
 }
 
 void CrashLedger::Shrink(std::uint64_t kept, Time now) {
-  std::erase_if(entries_, [&](const auto& entry) { return now - entry.second.last > knobs_.memory; });
-  while (entries_.size() > knobs_.most_requests) {
+  std::erase_if(entries_, [&](const auto& entry) { return now - entry.second.last > parameters_.memory; });
+  while (entries_.size() > parameters_.max_ledger_requests) {
     auto least = entries_.end();
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry) {
       if (entry->first == kept) continue;
--- a/src/core/serving/crash_steps.cc
+++ b/src/core/serving/crash_steps.cc
@@ -1,5 +1,5 @@
-// Engines that ended while they ran requests, and requests that are kept from engines for it; see engine_end_watch.h
-// and crash_ledger.h for the protocols.
+// Engines that ended while they ran requests, and requests that are kept from engines for it; see
+// engine_crash_detector.h and crash_ledger.h for the protocols.
 #include <algorithm>
 
 #include <fmt/format.h>
@@ -25,47 +25,48 @@
 
 }  // namespace
 
-void ServingCore::WatchUnattended(const Flow& flow) {
-  for (const auto& [id, attempt] : flow.attempts) unattended_[id] = {attempt.engine_id, flow.fingerprint};
+void ServingCore::TrackDetachedAttempts(const Flow& flow) {
+  for (const auto& [id, attempt] : flow.attempts) detached_attempts_[id] = {attempt.engine_id, flow.fingerprint};
 }
 
-void ServingCore::NoteBroken(const std::string& engine_id, std::uint64_t fingerprint) {
+void ServingCore::RecordBrokenResponse(const std::string& engine_id, std::uint64_t fingerprint) {
   const EngineState* engine = engines_.Find(engine_id);
   // Who had announced its end, or had gone before, ends by plan.
   if (engine == nullptr || engine->gone || engine->record.leaving) return;
-  const bool check = end_watch_.NoteBroken(engine_id, engine->key, fingerprint, now_);
-  if (check) actions_->push_back(CheckEngine{engine_id, engine->record.address});
+  const bool check = crash_detector_.RecordBrokenResponse(engine_id, engine->key, fingerprint, now_);
+  if (check) actions_->push_back(ProbeEngine{engine_id, engine->record.address});
 }
 
-void ServingCore::On(const EngineChecked& event) { end_watch_.NoteChecked(event.engine_id, event.outcome); }
+void ServingCore::On(const EngineProbed& event) { crash_detector_.RecordProbeOutcome(event.engine_id, event.outcome); }
 
-void ServingCore::NoteEndedEngines() {
+void ServingCore::HandleCrashedEngines() {
   const auto has_work = [this](const std::string& id) {
     const EngineState* engine = engines_.Find(id);
     return engine != nullptr && engine->outstanding > 0;
   };
-  for (const EndedEngine& ended : end_watch_.TakeEnded(has_work, now_)) {
+  for (const CrashedEngine& ended : crash_detector_.TakeCrashed(has_work, now_)) {
     Log(EventId::kEngineEnded, nullptr,
         fmt::format(R"("engine":"{}","after_ms":{},"requests":{},"fingerprints":{})", ended.engine_id,
-                    (now_ - ended.broke_at).count() / 1000, ended.requests.size(), HexList(ended.requests)));
+                    (now_ - ended.first_failure_at).count() / 1000, ended.requests.size(), HexList(ended.requests)));
     for (const std::uint64_t request : ended.requests) {
-      if (crashes_.NoteEnd(request, ended.life, ended.broke_at, now_)) OnMoreEnds(request, "own");
+      if (crashes_.RecordCrash(request, ended.life, ended.first_failure_at, now_))
+        OnCrashCountIncreased(request, "own");
     }
     // The next repeat may reach any node: what a round of reports takes is too long for it.
-    if (!ended.requests.empty()) actions_->push_back(TellCrashes{});
+    if (!ended.requests.empty()) actions_->push_back(ReportCrashes{});
   }
 }
 
-void ServingCore::On(const CrashesTold& event) {
+void ServingCore::On(const PeerCrashesReported& event) {
   for (const std::uint64_t request : crashes_.Merge(event.marks, now_)) {
-    OnMoreEnds(request, "peer");
+    OnCrashCountIncreased(request, "peer");
     if (crashes_.Ends(request) > 0) continue;
     Log(EventId::kRequestCleared, nullptr, fmt::format(R"("fingerprint":"{:016x}","cause":"a peer says so")", request));
   }
 }
 
-void ServingCore::OnMoreEnds(std::uint64_t fingerprint, std::string_view source) {
-  const std::optional<Duration> left = crashes_.QuarantineLeft(fingerprint, now_);
+void ServingCore::OnCrashCountIncreased(std::uint64_t fingerprint, std::string_view source) {
+  const std::optional<Duration> left = crashes_.QuarantineRemaining(fingerprint, now_);
   if (!left) return;
   Log(EventId::kRequestQuarantined, nullptr,
       fmt::format(R"("fingerprint":"{:016x}","engines_ended":{},"source":"{}","for_ms":{})", fingerprint,
@@ -74,20 +75,20 @@
   for (const auto& [id, flow] : flows_) {
     if (flow->fingerprint == fingerprint) under_way.push_back(id);
   }
-  for (const FlowId id : under_way) EndQuarantined(*FindFlow(id), *left);
+  for (const FlowId id : under_way) TerminateQuarantined(*FindFlow(id), *left);
 }
 
 // Only what has not run may be promised not to; an attempt that waits at an engine would end it.
-void ServingCore::EndQuarantined(Flow& flow, Duration left) {
-  if (flow.relaying) return BreakOffFlow(flow, kQuarantined);
+void ServingCore::TerminateQuarantined(Flow& flow, Duration left) {
+  if (flow.relaying) return AbortFlow(flow, kQuarantined);
   if (flow.runs > 0) return Fail(flow, kBadGateway, kQuarantined);
   Refuse(flow, kQuarantined, left);
 }
 
 // Each repeat of the caller is a new request that no engine has run, and none will: a refusal says so at once, and when
 // it is worth coming back.
-bool ServingCore::RefuseQuarantined(Flow& flow) {
-  const std::optional<Duration> left = crashes_.QuarantineLeft(flow.fingerprint, now_);
+bool ServingCore::RefuseIfQuarantined(Flow& flow) {
+  const std::optional<Duration> left = crashes_.QuarantineRemaining(flow.fingerprint, now_);
   if (!left) return false;
   Refuse(flow, kQuarantined, *left);
   return true;
@@ -96,7 +97,7 @@
 void ServingCore::NoteServed(const Flow& flow) {
   if (!crashes_.NoteServed(flow.fingerprint, now_)) return;
   Log(EventId::kRequestCleared, &flow, R"("cause":"a run ended well")");
-  actions_->push_back(TellCrashes{});
+  actions_->push_back(ReportCrashes{});
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/duty_lease.h
+++ b/src/core/serving/duty_lease.h
@@ -33,8 +33,8 @@
   Duration window = 1s;
   Duration slack = 400ms;
   Duration retry = 500ms;
-  Duration turn = 300ms;  // Between the tries of two nodes to take a lease that is free.
-  int most_turns = 10;    // From this rank on nodes do not wait longer: most of those before them are gone.
+  Duration turn = 300ms;       // Between the tries of two nodes to take a lease that is free.
+  int max_takeover_rank = 10;  // From this rank on nodes do not wait longer: most of those before them are gone.
 };
 
 enum class LeaseStep { kNone, kRead, kWrite };
@@ -57,13 +57,13 @@
   // `settled`: the write certainly did not happen.
   void OnWriteFailed(bool settled, Time now);
   // A peer knows this revision of the lease.
-  void OnHeard(const LeaseRecord& record, Time now);
+  void OnPeerRecord(const LeaseRecord& record, Time now);
 
   // Somebody at this node wants to act soon.
-  void Want(Time now) { wanted_until_ = now + times_.retry; }
-  bool wanted(Time now) const { return now < wanted_until_; }
+  void Want(Time now) { requested_until_ = now + times_.retry; }
+  bool wanted(Time now) const { return now < requested_until_; }
   // Whether this node may act now.
-  bool MayOrder(Time now, Duration needed = 0s) const { return holds_ && now + needed < ordered_until_; }
+  bool IsHeldFor(Time now, Duration needed = 0s) const { return holds_ && now + needed < valid_until_; }
   std::int64_t token() const { return token_; }
   // The newest record that is known, to be told to peers; revision 0: none.
   LeaseRecord known() const { return known_.value_or(LeaseRecord{}); }
@@ -73,8 +73,8 @@
     known_.reset();
   }
   // This node stops: it acts no more. Returns what to write so that others need not wait; nothing where it holds none.
-  std::optional<LeaseRecord> GiveUp();
-  void OnGivenUp(std::int64_t revision, Time now);
+  std::optional<LeaseRecord> Resign();
+  void OnResigned(std::int64_t revision, Time now);
 
  private:
   void StartWrite(Time now);
@@ -87,15 +87,15 @@
   Time began_;  // Of this life.
   LeaseRecord draft_;
   std::optional<LeaseRecord> known_;  // As last read or heard, with its revision.
-  Time known_since_{};
+  Time record_seen_at_{};
   Time write_sent_{};
-  Time ordered_until_{};
-  Time not_before_{};
-  Time wanted_until_{};
+  Time valid_until_{};
+  Time next_attempt_at_{};
+  Time requested_until_{};
   bool holds_ = false;
-  bool busy_ = false;       // A call is under way.
-  bool unsettled_ = false;  // A write of ours may have happened.
-  bool gave_up_ = false;
+  bool busy_ = false;              // A call is under way.
+  bool write_unresolved_ = false;  // A write of ours may have happened.
+  bool resigned_ = false;
   std::int64_t token_ = 0;
 };
 
--- a/src/core/serving/engine_end_watch.h
+++ b/src/core/serving/engine_crash_detector.h
@@ -19,35 +19,35 @@
 namespace saltquay::serving {
 
 // What a connection to an engine's address came to.
-enum class EngineCheckOutcome {
+enum class EngineProbeOutcome {
   kRefused,   // Nobody listens there.
   kAccepted,  // Somebody does.
   kUnknown,   // Neither in time.
 };
 
 // An engine that ended, and the fingerprints of the requests that were at it.
-struct EndedEngine {
+struct CrashedEngine {
   std::string engine_id;
   EngineKey life;  // That ended; another may have begun under the same id.
-  Time broke_at{};
+  Time first_failure_at{};
   std::vector<std::uint64_t> requests;
 };
 
-class EngineEndWatch {
+class EngineCrashDetector {
  public:
   // An answer of that life broke; `request`: its fingerprint, 0: none. Returns whether the engine is to be checked now.
-  bool NoteBroken(const std::string& engine_id, EngineKey life, std::uint64_t request, Time now);
-  void NoteChecked(const std::string& engine_id, EngineCheckOutcome outcome);
+  bool RecordBrokenResponse(const std::string& engine_id, EngineKey life, std::uint64_t request, Time now);
+  void RecordProbeOutcome(const std::string& engine_id, EngineProbeOutcome outcome);
   // The engine answered: a request that was sent at `sent_at`, or at `now` more of an answer.
   void NoteHeard(const std::string& engine_id, Time sent_at, Time now);
   // Engines that have ended. `has_work`: whether this node still has work under way at the engine.
   template <typename HasWork>
-  std::vector<EndedEngine> TakeEnded(HasWork has_work, Time now) {
-    std::vector<EndedEngine> ended;
+  std::vector<CrashedEngine> TakeCrashed(HasWork has_work, Time now) {
+    std::vector<CrashedEngine> ended;
     for (auto& [id, suspect] : suspects_) {
       if (suspect.refused && !has_work(id)) ended.push_back({id, suspect.life, suspect.since, Listed(suspect)});
     }
-    for (const EndedEngine& engine : ended) suspects_.erase(engine.engine_id);
+    for (const CrashedEngine& engine : ended) suspects_.erase(engine.engine_id);
     Forget(now);
     return ended;
   }
--- a/src/core/serving/engine_directory.cc
+++ b/src/core/serving/engine_directory.cc
@@ -75,7 +75,7 @@
 
 void EngineDirectory::NoteRecords() {
   ++generation_;
-  tallies_.clear();
+  service_stats_.clear();
 }
 
 void EngineDirectory::Sweep() {
@@ -106,40 +106,40 @@
   });
 }
 
-void EngineDirectory::NoteLoad(const std::string& id, const EngineLoad& load, Time now) {
+void EngineDirectory::RecordLoad(const std::string& id, const EngineLoad& load, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return;
   engine->told = load;
-  engine->told_at = now;
-  engine->outstanding_when_told = engine->outstanding;
-  engine->ever_told = true;
+  engine->load_reported_at = now;
+  engine->outstanding_at_load_report = engine->outstanding;
+  engine->has_reported_load = true;
 }
 
-std::optional<StandingChange> EngineDirectory::NoteAnswer(const std::string& id, bool failed, Time now) {
+std::optional<HealthChange> EngineDirectory::RecordResponse(const std::string& id, bool failed, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return std::nullopt;
   engine->last_heard = now;
   engine->consecutive_failures = 0;
   engine->backoff = 0s;
   engine->outcomes.Note(failed, now);
-  if (!failed) Trust(*engine);
-  Tally& tally = TallyOf(engine->record.service);
+  if (!failed) RaiseProbationLimit(*engine);
+  ServiceStats& tally = StatsOf(engine->record.service);
   tally.Count(*engine, -1);
   ++engine->answers;
   engine->error_share += policy_.smoothing * ((failed ? 1.0 : 0.0) - engine->error_share);
   tally.Count(*engine, 1);
   const bool judged = engine->answers >= policy_.min_answers;
-  const bool bad = judged && engine->error_share > OthersErrorShare(*engine) + policy_.error_share;
+  const bool bad = judged && engine->error_share > PeerEnginesErrorShare(*engine) + policy_.error_share;
   if (bad) {
     tally.Count(*engine, -1);
     engine->answers = 0;
-    return Eject(*engine, "errors above the other engines'", policy_.panic_share, now);
+    return Eject(*engine, "errors above the other engines'", policy_.max_ejected_share, now);
   }
   if (!failed && engine->error_share < policy_.error_share / 2) engine->ejection = 0s;
   return std::nullopt;
 }
 
-void EngineDirectory::NoteFull(const std::string& id, Time now) {
+void EngineDirectory::RecordRejection(const std::string& id, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return;
   engine->last_heard = now;
@@ -150,47 +150,48 @@
   engine->backed_off_until = now + engine->backoff;
 }
 
-std::optional<StandingChange> EngineDirectory::NoteFailure(const std::string& id, const std::string& cause, Time now) {
+std::optional<HealthChange> EngineDirectory::RecordFailure(const std::string& id, const std::string& cause, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return std::nullopt;
   ++engine->consecutive_failures;
   engine->outcomes.Note(true, now);
   const bool on_probation = engine->ejection > 0s && now < engine->ejected_until + engine->ejection;
   if (engine->consecutive_failures < policy_.failures && !on_probation) return std::nullopt;
-  auto change = Eject(*engine, cause, policy_.lost_share, now);
+  auto change = Eject(*engine, cause, policy_.max_unreachable_share, now);
   if (change) change->lost = true;
   return change;
 }
 
-std::optional<StandingChange> EngineDirectory::NoteMisdirected(const std::string& id, Time now) {
+std::optional<HealthChange> EngineDirectory::RecordWrongEngine(const std::string& id, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return std::nullopt;
   engine->ejection = policy_.longest;
-  return TakeOut(*engine, "another engine has its address", now);
+  return EjectUnconditionally(*engine, "another engine has its address", now);
 }
 
-std::optional<StandingChange> EngineDirectory::Eject(EngineState& engine, const std::string& cause, double most_out,
-                                                     Time now) {
+std::optional<HealthChange> EngineDirectory::Eject(EngineState& engine, const std::string& cause, double most_out,
+                                                   Time now) {
   if (!MayEjectMore(engine.record.service, most_out, now)) return std::nullopt;
-  return TakeOut(engine, cause, now);
+  return EjectUnconditionally(engine, cause, now);
 }
 
-std::optional<StandingChange> EngineDirectory::TakeOut(EngineState& engine, const std::string& cause, Time now) {
+std::optional<HealthChange> EngineDirectory::EjectUnconditionally(EngineState& engine, const std::string& cause,
+                                                                  Time now) {
   if (now < engine.ejected_until) return std::nullopt;
   engine.ejection = engine.ejection == 0s ? policy_.first : std::min(engine.ejection * 2, policy_.longest);
   engine.ejected_until = now + engine.ejection;
-  engine.trial_limit = 1;
+  engine.probation_limit = 1;
   engine.consecutive_failures = 0;
-  if (engine.gone) return StandingChange{engine.record.id, true, cause, engine.ejection};
-  std::vector<EngineState*>& out = TallyOf(engine.record.service).out;
+  if (engine.gone) return HealthChange{engine.record.id, true, cause, engine.ejection};
+  std::vector<EngineState*>& out = StatsOf(engine.record.service).out;
   std::erase(out, &engine);  // From its last time, if nobody has asked since.
   out.push_back(&engine);
-  return StandingChange{engine.record.id, true, cause, engine.ejection};
+  return HealthChange{engine.record.id, true, cause, engine.ejection};
 }
 
-std::vector<StandingChange> EngineDirectory::JudgeByAll(const std::map<EngineKey, EngineWork>& peers, double draw,
-                                                        Time now) {
-  tallies_.clear();  // So that sums of many small changes stay true.
+std::vector<HealthChange> EngineDirectory::EjectByFleetOutcomes(const std::map<EngineKey, EngineWork>& peers,
+                                                                double draw, Time now) {
+  service_stats_.clear();  // So that sums of many small changes stay true.
   std::map<std::string, EngineWork> services;
   std::map<EngineKey, EngineWork> seen;
   for (auto& [id, engine] : engines_) {
@@ -201,67 +202,68 @@
     if (others != peers.end()) outcomes.Add(others->second);
     services[engine.record.service].Add(outcomes);
   }
-  std::vector<StandingChange> changes;
+  std::vector<HealthChange> changes;
   for (auto& [id, engine] : engines_) {
     if (engine.gone) continue;
-    const auto change = JudgeOneByAll(engine, seen[engine.key], services[engine.record.service], draw, now);
+    const auto change = EjectOneByFleetOutcomes(engine, seen[engine.key], services[engine.record.service], draw, now);
     if (change) changes.push_back(*change);
   }
   return changes;
 }
 
-std::optional<StandingChange> EngineDirectory::JudgeOneByAll(EngineState& engine, const EngineWork& seen,
-                                                             const EngineWork& service, double draw, Time now) {
-  if (now < engine.ejected_until || seen.failures < policy_.all_failures) return std::nullopt;
+std::optional<HealthChange> EngineDirectory::EjectOneByFleetOutcomes(EngineState& engine, const EngineWork& seen,
+                                                                     const EngineWork& service, double draw, Time now) {
+  if (now < engine.ejected_until || seen.failures < policy_.min_fleet_failures) return std::nullopt;
   const bool lost = seen.answers == 0;
   const double share = static_cast<double>(seen.failures) / (seen.failures + seen.answers);
   const int others = service.answers + service.failures - seen.answers - seen.failures;
   const double others_share =
       others <= 0 ? 1.0 : static_cast<double>(service.failures - seen.failures) / static_cast<double>(others);
-  const bool bad = seen.answers + seen.failures >= policy_.all_outcomes && share > others_share + policy_.error_share;
+  const bool bad =
+      seen.answers + seen.failures >= policy_.min_fleet_outcomes && share > others_share + policy_.error_share;
   if (!lost && !bad) return std::nullopt;
-  auto change = lost ? Eject(engine, "no node is answered", policy_.lost_share, now)
-                     : Eject(engine, "errors above the other engines', of all nodes", policy_.panic_share, now);
+  auto change = lost ? Eject(engine, "no node is answered", policy_.max_unreachable_share, now)
+                     : Eject(engine, "errors above the other engines', of all nodes", policy_.max_ejected_share, now);
   if (!change) return change;
   change->lost = lost;
-  change->span = FromSeconds(ToSeconds(std::max(policy_.first_by_all, engine.ejection)) * (1 + draw));
+  change->span = FromSeconds(ToSeconds(std::max(policy_.min_fleet_ejection, engine.ejection)) * (1 + draw));
   engine.ejected_until = now + change->span;
   return change;
 }
 
-void EngineDirectory::Trust(EngineState& engine) const {
-  engine.trial_limit *= 2;
-  if (engine.trial_limit >= policy_.trial_limit_end) engine.trial_limit = 0;
+void EngineDirectory::RaiseProbationLimit(EngineState& engine) const {
+  engine.probation_limit *= 2;
+  if (engine.probation_limit >= policy_.full_trust_limit) engine.probation_limit = 0;
 }
 
-void EngineDirectory::Tally::Count(const EngineState& engine, int sign) {
+void EngineDirectory::ServiceStats::Count(const EngineState& engine, int sign) {
   if (engine.gone || engine.answers == 0) return;
   answered += sign;
   error_shares += sign * engine.error_share;
 }
 
-EngineDirectory::Tally& EngineDirectory::TallyOf(const std::string& service) {
-  if (tallies_.empty()) {
+EngineDirectory::ServiceStats& EngineDirectory::StatsOf(const std::string& service) {
+  if (service_stats_.empty()) {
     ForEachPresent([&](EngineState& engine) {
-      Tally& tally = tallies_[engine.record.service];
+      ServiceStats& tally = service_stats_[engine.record.service];
       tally.serving += engine.record.leaving ? 0 : 1;
       tally.Count(engine, 1);
       if (engine.ejected_until > Time{}) tally.out.push_back(&engine);
     });
   }
-  return tallies_[service];
+  return service_stats_[service];
 }
 
 bool EngineDirectory::MayEjectMore(const std::string& service, double most_out, Time now) {
-  Tally& tally = TallyOf(service);
+  ServiceStats& tally = StatsOf(service);
   std::erase_if(tally.out, [&](const EngineState* engine) { return now >= engine->ejected_until; });
   const auto out = std::count_if(tally.out.begin(), tally.out.end(),
                                  [](const EngineState* engine) { return !engine->record.leaving; });
   return out < std::max(1, static_cast<int>(most_out * tally.serving));
 }
 
-double EngineDirectory::OthersErrorShare(const EngineState& engine) {
-  const Tally& all = TallyOf(engine.record.service);
+double EngineDirectory::PeerEnginesErrorShare(const EngineState& engine) {
+  const ServiceStats& all = StatsOf(engine.record.service);
   const bool counted = !engine.gone && engine.answers > 0;
   const int others = all.answered - (counted ? 1 : 0);
   return others == 0 ? 1.0 : (all.error_shares - (counted ? engine.error_share : 0.0)) / others;
--- a/src/core/serving/engine_directory.h
+++ b/src/core/serving/engine_directory.h
@@ -83,9 +83,9 @@
 
   // The last load told, and what this node had there at that time.
   EngineLoad told;
-  Time told_at{};
-  int outstanding_when_told = 0;
-  bool ever_told = false;
+  Time load_reported_at{};
+  int outstanding_at_load_report = 0;
+  bool has_reported_load = false;
 
   // Other nodes' work there, from their reports.
   int peers_outstanding = 0;
@@ -99,14 +99,14 @@
   Duration ejection = 0s;  // Length of the last one.
   Duration backoff = 0s;   // Length of the last one; grows with each refusal in a row.
   Time backed_off_until{};
-  int trial_limit = 0;    // Most of this node's requests there after an ejection; 0: no limit.
-  Time last_heard{};      // Any answer.
-  Time changing_until{};  // A stage change is under way.
-  Time held_until{};      // A stage change is announced.
+  int probation_limit = 0;  // Most of this node's requests there after an ejection; 0: no limit.
+  Time last_heard{};        // Any answer.
+  Time changing_until{};    // A stage change is under way.
+  Time held_until{};        // A stage change is announced.
 
   // Whether it should get no new work now, for whatever cause.
-  bool IsOut(Time now) const {
-    const bool trial_full = trial_limit > 0 && outstanding >= trial_limit;
+  bool IsOutOfService(Time now) const {
+    const bool trial_full = probation_limit > 0 && outstanding >= probation_limit;
     return trial_full || now < std::max({ejected_until, backed_off_until, changing_until, held_until});
   }
 };
@@ -120,23 +120,23 @@
   double smoothing = 0.15;
   // Most of a service's engines that may be out at once for their errors (one always
   // may): beyond it the errors are more likely the service's or its load's.
-  double panic_share = 0.34;
+  double max_ejected_share = 0.34;
   // The same for engines that are silent or not reached; work sent there is lost.
-  double lost_share = 0.8;
+  double max_unreachable_share = 0.8;
   // Outcomes of all nodes together eject an engine from so many on: all of them failures, or a share above the
   // other engines' as for one node's.
-  int all_failures = 3;
-  int all_outcomes = 8;
+  int min_fleet_failures = 3;
+  int min_fleet_outcomes = 8;
   // At least, for nodes must not judge by outcomes from before; spread, so that a few nodes try first.
-  Duration first_by_all = 2s;
-  int trial_limit_end = 16;  // An engine on trial is trusted again from this limit on.
+  Duration min_fleet_ejection = 2s;
+  int full_trust_limit = 16;  // An engine on trial is trusted again from this limit on.
   // After a refusal for lack of room; doubles up to the longest with each one in a row.
   Duration first_backoff = 20ms;
   Duration longest_backoff = 320ms;
 };
 
 // Why an engine's standing changed; goes into the log line.
-struct StandingChange {
+struct HealthChange {
   std::string engine;
   bool ejected = false;
   std::string cause;
@@ -170,35 +170,35 @@
   // The same, with those that are leaving: they get no work, but what they keep can be copied until they are gone.
   void ForEachPresent(const std::string& service, const std::function<void(EngineState&)>& visit);
 
-  void NoteLoad(const std::string& id, const EngineLoad& load, Time now);
+  void RecordLoad(const std::string& id, const EngineLoad& load, Time now);
   // An answer of the engine's own; `failed`: an error of its own making.
-  std::optional<StandingChange> NoteAnswer(const std::string& id, bool failed, Time now);
+  std::optional<HealthChange> RecordResponse(const std::string& id, bool failed, Time now);
   // The engine did not run a request because it had no room, or because the
   // request's time ran out in its queue.
-  void NoteFull(const std::string& id, Time now);
+  void RecordRejection(const std::string& id, Time now);
   // Another engine answers at its address: nothing goes there for long.
-  std::optional<StandingChange> NoteMisdirected(const std::string& id, Time now);
+  std::optional<HealthChange> RecordWrongEngine(const std::string& id, Time now);
   // It refused the connection, fell silent, or broke an answer off.
-  std::optional<StandingChange> NoteFailure(const std::string& id, const std::string& cause, Time now);
+  std::optional<HealthChange> RecordFailure(const std::string& id, const std::string& cause, Time now);
   // Judges engines by what all nodes saw of them lately; `peers`: the others' sums. `draw`: between 0 and 1.
-  std::vector<StandingChange> JudgeByAll(const std::map<EngineKey, EngineWork>& peers, double draw, Time now);
+  std::vector<HealthChange> EjectByFleetOutcomes(const std::map<EngineKey, EngineWork>& peers, double draw, Time now);
 
  private:
-  std::optional<StandingChange> JudgeOneByAll(EngineState& engine, const EngineWork& seen, const EngineWork& service,
-                                              double draw, Time now);
+  std::optional<HealthChange> EjectOneByFleetOutcomes(EngineState& engine, const EngineWork& seen,
+                                                      const EngineWork& service, double draw, Time now);
   // Ejects unless `most_out` of the service's engines are out already.
-  std::optional<StandingChange> Eject(EngineState& engine, const std::string& cause, double most_out, Time now);
+  std::optional<HealthChange> Eject(EngineState& engine, const std::string& cause, double most_out, Time now);
   // Ejects whatever else is out.
-  std::optional<StandingChange> TakeOut(EngineState& engine, const std::string& cause, Time now);
+  std::optional<HealthChange> EjectUnconditionally(EngineState& engine, const std::string& cause, Time now);
   void NoteRecords();
   // A good answer of an engine on trial.
-  void Trust(EngineState& engine) const;
-  double OthersErrorShare(const EngineState& engine);
+  void RaiseProbationLimit(EngineState& engine) const;
+  double PeerEnginesErrorShare(const EngineState& engine);
   // Whether one more engine of the service may be taken out.
   bool MayEjectMore(const std::string& service, double most_out, Time now);
 
   // What is kept of a service, so that an answer or a failure need not look at all of its engines.
-  struct Tally {
+  struct ServiceStats {
     int serving = 0;                // Engines neither gone nor leaving.
     int answered = 0;               // Engines that have answered this node.
     double error_shares = 0;        // Their sum.
@@ -207,12 +207,12 @@
     // Counts the engine's answers, or no longer.
     void Count(const EngineState& engine, int sign);
   };
-  Tally& TallyOf(const std::string& service);
+  ServiceStats& StatsOf(const std::string& service);
 
   EjectionPolicy policy_;
   std::map<std::string, EngineState> engines_;
   std::uint64_t generation_ = 0;
-  std::map<std::string, Tally> tallies_;  // Empty: to be counted anew.
+  std::map<std::string, ServiceStats> service_stats_;  // Empty: to be counted anew.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/engine_index.cc
+++ b/src/core/serving/engine_index.cc
@@ -20,7 +20,7 @@
 }
 
 // A home that is only full stays the home: its parts are there.
-bool IsAway(const EngineState& engine, Time now) {
+bool IsEjectedOrChanging(const EngineState& engine, Time now) {
   return now < std::max({engine.ejected_until, engine.held_until, engine.changing_until});
 }
 
@@ -49,9 +49,9 @@
 namespace {
 
 // The two engines that come first among those that are considered; `past`: one that is a home already.
-class FirstTwo {
+class BestTwo {
  public:
-  explicit FirstTwo(const EngineState* past) : past_(past) {}
+  explicit BestTwo(const EngineState* past) : past_(past) {}
 
   void Consider(const EngineState* engine, std::uint64_t gap) {
     if (engine == past_) return;
@@ -65,23 +65,23 @@
       second_gap_ = gap;
     }
   }
-  const PartHomes& homes() const { return homes_; }
+  const HomeEngines& homes() const { return homes_; }
 
  private:
   const EngineState* past_;
-  PartHomes homes_;
+  HomeEngines homes_;
   std::uint64_t first_gap_ = 0;
   std::uint64_t second_gap_ = 0;
 };
 
 // Rendezvous hashing: even for any number of engines, but it looks at all of them.
-void RankAll(const EngineRing& ring, std::uint64_t part, Time now, FirstTwo& order) {
+void RankAll(const EngineRing& ring, std::uint64_t part, Time now, BestTwo& order) {
   for (const auto& [point, engine] : ring) {
-    if (!IsAway(*engine, now)) order.Consider(engine, ~HashPair(part, engine->key.hash));
+    if (!IsEjectedOrChanging(*engine, now)) order.Consider(engine, ~HashPair(part, engine->key.hash));
   }
 }
 
-void Probe(const EngineRing& ring, std::uint64_t part, Time now, FirstTwo& order) {
+void Probe(const EngineRing& ring, std::uint64_t part, Time now, BestTwo& order) {
   for (std::uint64_t probe = 0; probe < kProbes; ++probe) {
     const std::uint64_t point = HashPair(part, probe);
     auto at = std::lower_bound(ring.begin(), ring.end(), point,
@@ -89,7 +89,7 @@
     int usable = 0;
     for (std::size_t step = 0; step < ring.size() && usable < 2; ++step, ++at) {
       if (at == ring.end()) at = ring.begin();
-      if (IsAway(*at->second, now)) continue;
+      if (IsEjectedOrChanging(*at->second, now)) continue;
       ++usable;
       order.Consider(at->second, at->first - point);
     }
@@ -99,20 +99,20 @@
 
 }  // namespace
 
-void EngineGroup::AddHomes(const EngineRing& ring, std::uint64_t part, Time now, PartHomes& homes) {
-  FirstTwo order(homes.first);
-  (ring.size() <= kFewEngines ? RankAll : Probe)(ring, part, now, order);
-  homes = homes.first == nullptr ? order.homes() : PartHomes{homes.first, order.homes().first};
+void EngineGroup::AddHomeEngines(const EngineRing& ring, std::uint64_t part, Time now, HomeEngines& homes) {
+  BestTwo order(homes.first);
+  (ring.size() <= kMaxFullScanEngines ? RankAll : Probe)(ring, part, now, order);
+  homes = homes.first == nullptr ? order.homes() : HomeEngines{homes.first, order.homes().first};
 }
 
-PartHomes EngineGroup::FindHomes(std::uint64_t part, std::size_t region, Time now) const {
-  PartHomes homes;
-  if (region < regions_.size()) AddHomes(regions_[region].ring, part, now, homes);
-  if (homes.second == nullptr) AddHomes(ring_, part, now, homes);
+HomeEngines EngineGroup::FindHomeEngines(std::uint64_t part, std::size_t region, Time now) const {
+  HomeEngines homes;
+  if (region < regions_.size()) AddHomeEngines(regions_[region].ring, part, now, homes);
+  if (homes.second == nullptr) AddHomeEngines(ring_, part, now, homes);
   return homes;
 }
 
-const GroupSums& EngineGroup::Sums(Time now) {
+const GroupTotals& EngineGroup::Sums(Time now) {
   if (!few() && now - summed_at_ < kSumsAge) return sums_;
   summed_at_ = now;
   sums_.in_service = 0;
@@ -123,7 +123,7 @@
     for (const IndexedEngine& member : regions_[region].engines) {
       const EngineState& engine = *member.engine;
       tokens += static_cast<double>(engine.outstanding_prompt_tokens + engine.peers_prompt_tokens);
-      if (engine.IsOut(now)) continue;
+      if (engine.IsOutOfService(now)) continue;
       ++sums_.in_service;
       sums_.peers_outstanding += engine.peers_outstanding;
     }
@@ -134,10 +134,10 @@
 }
 
 std::size_t EngineIndex::AddZone(const std::string& zone, const Topology& topology) {
-  const auto [entry, added] = zone_places_.try_emplace(zone, zones_.size());
+  const auto [entry, added] = zone_indices_.try_emplace(zone, zones_.size());
   if (!added) return entry->second;
   const std::string region(topology.RegionOf(zone));
-  zones_.push_back({zone, region_places_.try_emplace(region, region_places_.size()).first->second});
+  zones_.push_back({zone, region_indices_.try_emplace(region, region_indices_.size()).first->second});
   return entry->second;
 }
 
@@ -170,9 +170,9 @@
   return entry == by_key_.end() ? nullptr : entry->second;
 }
 
-std::size_t EngineIndex::PlaceOfZone(const std::string& zone) const {
-  const auto entry = zone_places_.find(zone);
-  return entry == zone_places_.end() ? own_zone_ : entry->second;
+std::size_t EngineIndex::ZoneIndexOf(const std::string& zone) const {
+  const auto entry = zone_indices_.find(zone);
+  return entry == zone_indices_.end() ? own_zone_ : entry->second;
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/engine_index.h
+++ b/src/core/serving/engine_index.h
@@ -25,7 +25,7 @@
 namespace saltquay::serving {
 
 // Up to so many engines each choice looks at all of them.
-constexpr std::size_t kFewEngines = 64;
+constexpr std::size_t kMaxFullScanEngines = 64;
 
 struct IndexedEngine {
   EngineState* engine = nullptr;
@@ -33,13 +33,13 @@
 };
 
 // Two engines that keep a prompt part first of all; nullptr: there is none.
-struct PartHomes {
+struct HomeEngines {
   const EngineState* first = nullptr;
   const EngineState* second = nullptr;
 };
 
 // What waits at the engines of a group.
-struct GroupSums {
+struct GroupTotals {
   int in_service = 0;                  // Engines that may get work now.
   int peers_outstanding = 0;           // Requests of other nodes there.
   std::vector<double> waiting_tokens;  // Prompt tokens to be read at an engine on average, by region.
@@ -52,12 +52,12 @@
 class EngineGroup {
  public:
   const std::vector<IndexedEngine>& all() const { return all_; }
-  bool few() const { return all_.size() <= kFewEngines; }
+  bool few() const { return all_.size() <= kMaxFullScanEngines; }
   // Some at random: most of the zone, others of its region, some of anywhere. Repeats are possible.
   void Draw(std::size_t zone, std::size_t region, Random& random, std::vector<IndexedEngine>& drawn) const;
   // Homes in the region first, then anywhere.
-  PartHomes FindHomes(std::uint64_t part, std::size_t region, Time now) const;
-  const GroupSums& Sums(Time now);
+  HomeEngines FindHomeEngines(std::uint64_t part, std::size_t region, Time now) const;
+  const GroupTotals& Sums(Time now);
 
  private:
   friend class EngineIndex;
@@ -68,13 +68,13 @@
 
   void Add(const IndexedEngine& member, std::size_t region);
   // Fills what is open of `homes` from the ring.
-  static void AddHomes(const EngineRing& ring, std::uint64_t part, Time now, PartHomes& homes);
+  static void AddHomeEngines(const EngineRing& ring, std::uint64_t part, Time now, HomeEngines& homes);
 
   std::vector<IndexedEngine> all_;
   std::vector<std::vector<IndexedEngine>> by_zone_;
   std::vector<Region> regions_;
   EngineRing ring_;  // Of all.
-  GroupSums sums_;
+  GroupTotals sums_;
   Time summed_at_{};
 };
 
@@ -95,7 +95,7 @@
   EngineState* FindPresent(const EngineKey& key) const;
   const std::vector<Zone>& zones() const { return zones_; }
   // Place of the zone; the own one's, where no engine lies in it.
-  std::size_t PlaceOfZone(const std::string& zone) const;
+  std::size_t ZoneIndexOf(const std::string& zone) const;
   std::size_t own_zone() const { return own_zone_; }
 
  private:
@@ -104,8 +104,8 @@
   const EngineDirectory* directory_ = nullptr;
   std::uint64_t generation_ = 0;
   std::vector<Zone> zones_;
-  std::map<std::string, std::size_t> zone_places_;
-  std::map<std::string, std::size_t, std::less<>> region_places_;
+  std::map<std::string, std::size_t> zone_indices_;
+  std::map<std::string, std::size_t, std::less<>> region_indices_;
   std::size_t own_zone_ = 0;
   std::map<std::pair<std::string, EngineStage>, EngineGroup> groups_;
   std::map<std::string, std::vector<EngineState*>> present_;
--- a/src/core/serving/events.h
+++ b/src/core/serving/events.h
@@ -15,10 +15,10 @@
 #include "src/base/event_catalogue.h"
 #include "src/base/time.h"
 #include "src/core/serving/crash_ledger.h"
+#include "src/core/serving/engine_crash_detector.h"
 #include "src/core/serving/engine_directory.h"
-#include "src/core/serving/engine_end_watch.h"
 #include "src/core/serving/peer_table.h"
-#include "src/core/serving/retry_allowance.h"
+#include "src/core/serving/retry_budget_share.h"
 #include "src/core/serving/serving_config.h"
 
 namespace saltquay::serving {
@@ -36,19 +36,19 @@
 };
 
 // What the caller told of its prompt.
-struct PromptFacts {
+struct PromptMetadata {
   std::string model;
   int tokens = 0;
   int output_tokens = 0;
   std::vector<PromptPart> parts;  // In order; the last belongs to the request itself.
 };
 
-struct RequestFacts {
+struct RequestMetadata {
   std::string request_id;
   std::string host;
   std::string path;
   std::optional<Duration> deadline;
-  std::optional<PromptFacts> prompt;
+  std::optional<PromptMetadata> prompt;
   std::string last_event_id;  // Of a client that resumes a stream.
   // The caller's secret, empty where it sent none. It stands in no log line and goes to no engine.
   std::string api_key;
@@ -57,10 +57,10 @@
 };
 
 // Units that the request takes of a limit.
-std::int64_t CostOf(const limits::TenantLimit& limit, const RequestFacts& facts);
+std::int64_t CostOf(const limits::TenantLimit& limit, const RequestMetadata& facts);
 
 // What an engine's answer head says.
-struct AnswerFacts {
+struct EngineResponseHead {
   int status = 0;
   bool not_executed = false;
   bool signed_by_engine = false;
@@ -87,7 +87,7 @@
   std::string id;
 };
 // Whether the node hears the store, so that what it knows is fresh.
-struct StoreContactChanged {
+struct StoreConnectivityChanged {
   bool in_contact = false;
 };
 // What the peers' reports add up to.
@@ -101,18 +101,18 @@
 };
 struct RequestArrived {
   FlowId flow = 0;
-  RequestFacts facts;
+  RequestMetadata facts;
 };
-struct ClientLeft {
+struct ClientDisconnected {
   FlowId flow = 0;
 };
-struct AttemptHead {
+struct AttemptHeadReceived {
   FlowId flow = 0;
   AttemptId attempt = 0;
-  AnswerFacts answer;
+  EngineResponseHead answer;
 };
 // Events of a stream that came whole.
-struct AttemptEvents {
+struct AttemptEventsReceived {
   FlowId flow = 0;
   AttemptId attempt = 0;
   std::string last_event_id;
@@ -127,18 +127,18 @@
   AttemptId attempt = 0;
   AttemptFailure failure = AttemptFailure::kBroken;
 };
-// The answer to CheckEngine.
-struct EngineChecked {
+// The answer to ProbeEngine.
+struct EngineProbed {
   std::string engine_id;
-  EngineCheckOutcome outcome = EngineCheckOutcome::kUnknown;
+  EngineProbeOutcome outcome = EngineProbeOutcome::kUnknown;
 };
 // What a peer knows of requests under which engines ended.
-struct CrashesTold {
+struct PeerCrashesReported {
   std::vector<CrashMark> marks;
 };
 // All nodes that are known and do not stop, without this one, and how many it is in touch with.
 struct NodesChanged {
-  std::vector<limits::LimitNode> nodes;
+  std::vector<limits::LimiterNode> nodes;
   limits::Reach reach;
 };
 // What another node says of a tenant's limit.
@@ -147,14 +147,14 @@
 };
 // This node takes no new duties: it stops.
 struct NodeStopping {};
-struct TimePassed {};
+struct TimerFired {};
 
-using Event =
-    std::variant<ConfigurationChanged, EnginesReplaced, EngineChanged, EngineRemoved, StoreContactChanged, PeersChanged,
-                 RequestArrived, ClientLeft, AttemptHead, AttemptEvents, AttemptCompleted, AttemptFailed, EngineChecked,
-                 CrashesTold, NodesChanged, LimitMessageArrived, NodeStopping, TimePassed>;
+using Event = std::variant<ConfigurationChanged, EnginesReplaced, EngineChanged, EngineRemoved,
+                           StoreConnectivityChanged, PeersChanged, RequestArrived, ClientDisconnected,
+                           AttemptHeadReceived, AttemptEventsReceived, AttemptCompleted, AttemptFailed, EngineProbed,
+                           PeerCrashesReported, NodesChanged, LimitMessageArrived, NodeStopping, TimerFired>;
 
-struct MemorySource {
+struct KvCacheSource {
   std::string engine_id;
   std::string address;
   std::string handle;
@@ -166,7 +166,7 @@
   std::string engine_id;
   std::string address;
   AttemptMode mode = AttemptMode::kWhole;
-  std::optional<MemorySource> memory;
+  std::optional<KvCacheSource> memory;
   std::string copy_from;  // Address of an engine that may keep what the prompt shares with others; empty: none.
   std::string last_event_id;
   Duration time_left = 0s;
@@ -180,12 +180,12 @@
   AttemptId attempt = 0;
 };
 // Connections to the engine that rest may be dead: the next attempt there takes a new one.
-struct DropRestingConnections {
+struct DropIdleConnections {
   std::string engine_id;
   std::string address;
 };
 // Send the attempt's buffered answer to the client, whole.
-struct RelayAnswer {
+struct RelayResponse {
   FlowId flow = 0;
   AttemptId attempt = 0;
 };
@@ -197,30 +197,30 @@
 struct EndRelay {
   FlowId flow = 0;
 };
-struct AnswerOwn {
+struct SendLocalReply {
   FlowId flow = 0;
   int status = 0;
   std::optional<Duration> retry_after;
 };
 // End the answer so that it does not look complete.
-struct BreakOff {
+struct AbortResponse {
   FlowId flow = 0;
 };
-struct ReleaseMemory {
-  MemorySource memory;
+struct ReleaseKvCache {
+  KvCacheSource memory;
 };
 // A tenant's request began to run at an engine, for the first time.
-struct RunBegan {
+struct ExecutionStarted {
   std::string tenant;
   Time began{};
 };
 // A call to an engine of the service counted against the retry budget.
 struct ExtraArrivalCounted {
   std::string service;
-  ExtraArrival cause = ExtraArrival::kRunRepeated;
+  ExtraArrival cause = ExtraArrival::kExecutionRetried;
 };
 // Whether anybody listens at the engine's address.
-struct CheckEngine {
+struct ProbeEngine {
   std::string engine_id;
   std::string address;
 };
@@ -229,7 +229,7 @@
   std::vector<limits::AddressedLimitMessage> messages;
 };
 // The peers are to be told at once of requests under which engines ended.
-struct TellCrashes {};
+struct ReportCrashes {};
 // One line of the decision log.
 struct LogDecision {
   EventId event = EventId::kRequestRouted;
@@ -237,8 +237,8 @@
   std::string details;     // JSON members, without braces.
 };
 
-using Action = std::variant<StartAttempt, CancelAttempt, DropRestingConnections, RelayAnswer, BeginRelay, EndRelay,
-                            AnswerOwn, BreakOff, ReleaseMemory, RunBegan, ExtraArrivalCounted, CheckEngine, TellCrashes,
-                            SendLimitMessages, LogDecision>;
+using Action = std::variant<StartAttempt, CancelAttempt, DropIdleConnections, RelayResponse, BeginRelay, EndRelay,
+                            SendLocalReply, AbortResponse, ReleaseKvCache, ExecutionStarted, ExtraArrivalCounted,
+                            ProbeEngine, ReportCrashes, SendLimitMessages, LogDecision>;
 
 }  // namespace saltquay::serving
--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -5,7 +5,7 @@
 
 #include "src/core/serving/demand_sum.h"
 #include "src/core/serving/node_ranking.h"
-#include "src/core/serving/turns.h"
+#include "src/core/serving/round_robin.h"
 
 namespace saltquay::serving {
 namespace {
@@ -58,7 +58,7 @@
 
 bool FleetExchange::aggregates(Time now) const {
   return std::any_of(nodes_.begin(), nodes_.end(),
-                     [&](const auto& entry) { return now - entry.second.at < knobs_.memory; });
+                     [&](const auto& entry) { return now - entry.second.at < parameters_.memory; });
 }
 
 bool FleetExchange::Note(const PeerReport& report, Time now) {
@@ -68,45 +68,45 @@
     return false;
   }
   if (report.scope == ReportScope::kZone) {
-    NoteZone(report, now);
+    RecordZoneDigest(report, now);
     return false;
   }
-  if (report.scope == ReportScope::kRegion || report.scope == ReportScope::kRegionPassed) {
-    NoteRegion(report, now);
+  if (report.scope == ReportScope::kRegion || report.scope == ReportScope::kRegionForwarded) {
+    RecordRegionDigest(report, now);
     return false;
   }
   const auto asked = asked_.find(report.node);
   if (asked != asked_.end()) asked->second.digest = now;
-  if (IsFuller(view_, view_heard_, report, now, knobs_.interval)) return false;
-  TakeView(report, now);
+  if (IsMoreComplete(view_, view_heard_, report, now, parameters_.interval)) return false;
+  UpdateView(report, now);
   return true;
 }
 
-void FleetExchange::NoteZone(const PeerReport& report, Time now) {
+void FleetExchange::RecordZoneDigest(const PeerReport& report, Time now) {
   if (report.zone == self_.zone || !IsNear(report.zone)) return;
   Heard& sender = zone_senders_[report.node];
   if (sender.at != Time{} && !IsNewer(report, sender.report)) return;
   sender = {report, now};
   Heard& zone = zones_[report.zone];
-  if (!IsFuller(zone.report, zone.at, report, now, knobs_.interval)) zone = sender;
-  NoteNews(report, now);
+  if (!IsMoreComplete(zone.report, zone.at, report, now, parameters_.interval)) zone = sender;
+  RecordCacheUpdates(report, now);
 }
 
-void FleetExchange::NoteRegion(const PeerReport& report, Time now) {
+void FleetExchange::RecordRegionDigest(const PeerReport& report, Time now) {
   if (IsNear(report.zone)) return;
   Heard& sender = region_senders_[report.node];
   if (sender.at != Time{} && !IsNewer(report, sender.report)) return;
   sender = {report, now};
   Heard& region = regions_[std::string(topology_.RegionOf(report.zone))];
-  if (!IsFuller(region.report, region.at, report, now, knobs_.region_interval)) region = sender;
-  if (report.scope == ReportScope::kRegion) to_pass_[report.node] = sender;
-  NoteNews(report, now);
+  if (!IsMoreComplete(region.report, region.at, report, now, parameters_.region_interval)) region = sender;
+  if (report.scope == ReportScope::kRegion) to_forward_[report.node] = sender;
+  RecordCacheUpdates(report, now);
 }
 
-bool FleetExchange::IsFuller(const PeerReport& known, Time known_at, const PeerReport& report, Time now,
-                             Duration interval) const {
+bool FleetExchange::IsMoreComplete(const PeerReport& known, Time known_at, const PeerReport& report, Time now,
+                                   Duration interval) const {
   const bool fresh = known_at != Time{} && now - known_at <= 2 * interval;
-  return fresh && known.node != report.node && report.nodes < knobs_.fuller_share * known.nodes;
+  return fresh && known.node != report.node && report.nodes < parameters_.min_completeness * known.nodes;
 }
 
 void FleetExchange::Aggregate(const PeerReport& report, Time now) {
@@ -114,37 +114,38 @@
   if (heard.at != Time{} && !IsNewer(report, heard.report)) return;
   heard.report = report;
   heard.at = now;
-  NoteNews(report, now);
+  RecordCacheUpdates(report, now);
 }
 
-void FleetExchange::NoteNews(const PeerReport& report, Time now) {
+void FleetExchange::RecordCacheUpdates(const PeerReport& report, Time now) {
   for (const KeptPart& kept : report.kept) {
     Passed& passed = news_[kept];
-    if (passed.first == Time{} || now - passed.first > knobs_.news_rest) passed.first = now;
+    if (passed.first == Time{} || now - passed.first > parameters_.cache_update_suppress_time) passed.first = now;
     passed.last = now;
   }
 }
 
 void FleetExchange::Forget(Time now) {
-  std::erase_if(nodes_, [&](const auto& entry) { return now - entry.second.at > knobs_.memory; });
-  std::erase_if(zones_, [&](const auto& entry) { return now - entry.second.at > knobs_.memory; });
-  std::erase_if(zone_senders_, [&](const auto& entry) { return now - entry.second.at > knobs_.memory; });
-  std::erase_if(regions_, [&](const auto& entry) { return now - entry.second.at > knobs_.region_memory; });
-  std::erase_if(region_senders_, [&](const auto& entry) { return now - entry.second.at > knobs_.region_memory; });
-  std::erase_if(news_, [&](const auto& entry) { return now - entry.second.last > knobs_.news_rest; });
-  std::erase_if(aside_until_, [&](const auto& entry) { return entry.second <= now; });
+  std::erase_if(nodes_, [&](const auto& entry) { return now - entry.second.at > parameters_.memory; });
+  std::erase_if(zones_, [&](const auto& entry) { return now - entry.second.at > parameters_.memory; });
+  std::erase_if(zone_senders_, [&](const auto& entry) { return now - entry.second.at > parameters_.memory; });
+  std::erase_if(regions_, [&](const auto& entry) { return now - entry.second.at > parameters_.region_memory; });
+  std::erase_if(region_senders_, [&](const auto& entry) { return now - entry.second.at > parameters_.region_memory; });
+  std::erase_if(news_,
+                [&](const auto& entry) { return now - entry.second.last > parameters_.cache_update_suppress_time; });
+  std::erase_if(excluded_until_, [&](const auto& entry) { return entry.second <= now; });
 }
 
 // The first nodes of the zone of which none was silent. This node may be one of them.
 std::vector<PeerNode> FleetExchange::ChooseAggregators(Time now, const std::vector<PeerNode>& peers) {
   for (const auto& [node, asked] : asked_) {
     const Time last = std::max(asked.since, asked.digest);
-    if (now - last > knobs_.silence) aside_until_[node] = now + knobs_.left_aside;
+    if (now - last > parameters_.silence) excluded_until_[node] = now + parameters_.exclusion_time;
   }
   std::vector<PeerNode> chosen;
   for (const RankedNode& ranked : RankZone(self_, peers, self_.zone)) {
-    if (chosen.size() == static_cast<std::size_t>(knobs_.aggregators)) break;
-    if (!aside_until_.contains(ranked.node->node)) chosen.push_back(*ranked.node);
+    if (chosen.size() == static_cast<std::size_t>(parameters_.aggregators)) break;
+    if (!excluded_until_.contains(ranked.node->node)) chosen.push_back(*ranked.node);
   }
   std::map<std::string, Asked> asked;
   for (const PeerNode& aggregator : chosen) {
@@ -172,17 +173,17 @@
     if (aggregator.node != self_.node) report.addresses.push_back(aggregator.address);
   }
   if (aggregates_itself || !nodes_.empty()) {
-    NoteNews(own, now);
+    RecordCacheUpdates(own, now);
     SendZoneDigest(now, own, peers, messages);
     SendRegionDigest(now, own, peers, aggregators, messages);
     FleetMessage digest{{}, Sum(ReportScope::kFleet, own, now)};
     for (const auto& [node, heard] : nodes_) digest.addresses.push_back(heard.report.address);
-    if (!IsFuller(view_, view_heard_, digest.report, now, knobs_.interval)) TakeView(digest.report, now);
+    if (!IsMoreComplete(view_, view_heard_, digest.report, now, parameters_.interval)) UpdateView(digest.report, now);
     messages.push_back(std::move(digest));
   }
-  PassRegionDigests(now, peers, aggregators, messages);
-  own_told_.clear();
-  for (const EngineWork& work : own.work) own_told_[work.engine] = work;
+  ForwardRegionDigests(now, peers, aggregators, messages);
+  own_reported_work_.clear();
+  for (const EngineWork& work : own.work) own_reported_work_[work.engine] = work;
   own_demand_ = own.demand;
   messages.push_back(std::move(report));
   return messages;
@@ -211,8 +212,9 @@
   for (const auto& [node, heard] : zone_senders_) {
     if (heard.report.zone == zone) addresses.push_back(heard.report.address);
   }
-  const bool tries_more = addresses.empty() && topology_.HasRegions();
-  const auto wanted = tries_more ? knobs_.unheard_candidates : static_cast<std::size_t>(knobs_.aggregators);
+  const bool tries_more = addresses.empty() && topology_.HasMultipleRegions();
+  const auto wanted =
+      tries_more ? parameters_.silent_zone_candidates : static_cast<std::size_t>(parameters_.aggregators);
   for (const RankedNode& ranked : RankZone(self_, peers, zone)) {
     if (addresses.size() >= wanted) break;
     if (!zone_senders_.contains(ranked.node->node)) addresses.push_back(ranked.node->address);
@@ -222,9 +224,9 @@
 
 void FleetExchange::SendRegionDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
                                      const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages) {
-  if (!topology_.HasRegions() || now < next_region_digest_ || !SpeaksForRegion(own_zone)) return;
+  if (!topology_.HasMultipleRegions() || now < next_region_digest_ || !IsRegionRepresentative(own_zone)) return;
   // Calls come an interval apart, more or less: none is to be missed by a little.
-  next_region_digest_ = now + knobs_.region_interval - knobs_.interval / 2;
+  next_region_digest_ = now + parameters_.region_interval - parameters_.interval / 2;
   std::set<std::string_view> regions;
   for (const PeerNode& peer : peers) regions.insert(topology_.RegionOf(peer.zone));
   regions.erase(topology_.OwnRegion());
@@ -237,9 +239,9 @@
   messages.push_back(std::move(digest));
 }
 
-void FleetExchange::PassRegionDigests(Time now, const std::vector<PeerNode>& peers,
-                                      const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages) {
-  if (to_pass_.empty()) return;
+void FleetExchange::ForwardRegionDigests(Time now, const std::vector<PeerNode>& peers,
+                                         const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages) {
+  if (to_forward_.empty()) return;
   std::vector<std::string> addresses;
   for (const PeerNode& aggregator : own_zone) {
     if (aggregator.node != self_.node) addresses.push_back(aggregator.address);
@@ -251,19 +253,19 @@
   for (const std::string& zone : zones) {
     for (std::string& address : AggregatorsOf(zone, peers)) addresses.push_back(std::move(address));
   }
-  for (auto& [node, heard] : to_pass_) {
+  for (auto& [node, heard] : to_forward_) {
     PeerReport& report = heard.report;
-    report.scope = ReportScope::kRegionPassed;
+    report.scope = ReportScope::kRegionForwarded;
     report.age += now - heard.at;
     report.wall_ms = 0;  // The time of day when it came is over.
     messages.push_back({addresses, std::move(report)});
   }
-  to_pass_.clear();
+  to_forward_.clear();
 }
 
 // The first of all aggregators of the region that this node knows. Two halves of a region that do not hear each other
 // both speak: that costs bytes, and the fuller digest counts.
-bool FleetExchange::SpeaksForRegion(const std::vector<PeerNode>& own_zone) const {
+bool FleetExchange::IsRegionRepresentative(const std::vector<PeerNode>& own_zone) const {
   std::vector<PeerNode> others;
   for (const PeerNode& aggregator : own_zone) {
     if (aggregator.node != self_.node) others.push_back(aggregator);
@@ -272,8 +274,9 @@
     const PeerReport& report = heard.report;
     others.push_back({node, report.address, report.zone, report.link_mbps, false});
   }
-  const std::vector<RankedNode> speakers = SpreadOverZones(RankNodes(self_, others), knobs_.speakers);
-  return std::any_of(speakers.begin(), speakers.end(),
+  const std::vector<RankedNode> region_representatives =
+      PickAcrossZones(RankNodes(self_, others), parameters_.region_representatives);
+  return std::any_of(region_representatives.begin(), region_representatives.end(),
                      [&](const RankedNode& speaker) { return speaker.node == &self_; });
 }
 
@@ -288,8 +291,9 @@
   std::erase_if(ranked, [&](const RankedNode& candidate) {
     return topology_.RegionOf(candidate.node->zone) != region || region_senders_.contains(candidate.node->node);
   });
-  const std::size_t wanted = addresses.empty() ? knobs_.unheard_candidates : knobs_.speakers;
-  for (const RankedNode& candidate : SpreadOverZones(ranked, wanted)) {
+  const std::size_t wanted =
+      addresses.empty() ? parameters_.silent_zone_candidates : parameters_.region_representatives;
+  for (const RankedNode& candidate : PickAcrossZones(ranked, wanted)) {
     if (addresses.size() >= wanted) break;
     addresses.push_back(candidate.node->address);
   }
@@ -318,15 +322,15 @@
   sum.MoveTo(report);
   report.crashes = own.crashes;  // What others told has been merged into them.
   for (const auto& [kept, passed] : news_) {
-    if (now - passed.first < knobs_.news_passed) report.kept.push_back(kept);
+    if (now - passed.first < parameters_.cache_update_forward_time) report.kept.push_back(kept);
   }
-  report.peers = NextMembers(scope);
+  report.peers = NextMentionedPeers(scope);
   return report;
 }
 
 // Some of the nodes that are heard here or through others' aggregators, others each time; other regions are told of the
 // own one only.
-std::vector<PeerNode> FleetExchange::NextMembers(ReportScope scope) {
+std::vector<PeerNode> FleetExchange::NextMentionedPeers(ReportScope scope) {
   std::vector<PeerNode> members;
   for (const auto& [node, heard] : nodes_) {
     const PeerReport& report = heard.report;
@@ -340,18 +344,19 @@
     }
   };
   add_senders(zone_senders_);
-  if (scope == ReportScope::kRegion) return TakeByTurns(std::move(members), knobs_.named_across, next_member_);
+  if (scope == ReportScope::kRegion)
+    return TakeRoundRobin(std::move(members), parameters_.mentioned_across_regions, next_member_);
   add_senders(region_senders_);
-  return TakeByTurns(std::move(members), knobs_.named_nodes, next_member_);
+  return TakeRoundRobin(std::move(members), parameters_.mentioned_nodes, next_member_);
 }
 
 // This node's own part was told up to two intervals ago; what is under way there now it knows itself.
-void FleetExchange::TakeView(const PeerReport& digest, Time now) {
+void FleetExchange::UpdateView(const PeerReport& digest, Time now) {
   view_ = digest;
   view_heard_ = now;
   for (EngineWork& work : view_.work) {
-    const auto own = own_told_.find(work.engine);
-    if (own == own_told_.end()) continue;
+    const auto own = own_reported_work_.find(work.engine);
+    if (own == own_reported_work_.end()) continue;
     work.outstanding = std::max(0, work.outstanding - own->second.outstanding);
     work.prompt_tokens = std::max<std::int64_t>(0, work.prompt_tokens - own->second.prompt_tokens);
     work.answers = std::max(0, work.answers - own->second.answers);
@@ -369,7 +374,7 @@
 }
 
 const PeerReport* FleetExchange::View(Time now) const {
-  return view_heard_ != Time{} && now - view_heard_ < knobs_.memory ? &view_ : nullptr;
+  return view_heard_ != Time{} && now - view_heard_ < parameters_.memory ? &view_ : nullptr;
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/fleet_exchange.h
+++ b/src/core/serving/fleet_exchange.h
@@ -32,7 +32,7 @@
 
 namespace saltquay::serving {
 
-struct FleetExchangeKnobs {
+struct FleetExchangeParameters {
   // Up to so many peers a report reaches all in each round; see PeerExchangeOptions::fan_out.
   std::size_t direct_peers = 10;
   // Between two reports, and between two digests: an engine takes in several prompts in half a second.
@@ -40,26 +40,26 @@
   int aggregators = 2;  // To which a node reports.
   // An aggregator that sent no digest for so long is left aside: ten of them may be lost.
   Duration silence = 1200ms;
-  Duration left_aside = 5s;
+  Duration exclusion_time = 5s;
   // Reports and digests count for so long: as many intervals as the silence.
   Duration memory = 1200ms;
   // News of kept parts are passed on for so long after they came, then not again for a while.
-  Duration news_passed = 300ms;
-  Duration news_rest = 8s;  // Well within ServingKnobs::part_memory.
-  std::size_t named_nodes = 24;
+  Duration cache_update_forward_time = 300ms;
+  Duration cache_update_suppress_time = 8s;  // Well within ServingParameters::cached_part_lifetime.
+  std::size_t mentioned_nodes = 24;
   // Between two digests of a region, by each node that speaks for it. With two of them a region hears of another each
   // fifth of a second, and all of it is known everywhere within a second.
   Duration region_interval = 400ms;
-  std::size_t speakers = 2;     // One may be lost without a gap.
-  Duration region_memory = 2s;  // Digests of regions count for so long: five of one speaker's.
+  std::size_t region_representatives = 2;  // One may be lost without a gap.
+  Duration region_memory = 2s;             // Digests of regions count for so long: five of one speaker's.
   // Of a zone or region of which nobody is heard, so many are tried by turns: the first may all be lost, here and
   // there, and who aggregates in their place does not know of each other.
-  std::size_t unheard_candidates = 8;
+  std::size_t silent_zone_candidates = 8;
   // Named in a region's digest: these are rarer, and all nodes must be named within PeerTable's memory.
-  std::size_t named_across = 48;
+  std::size_t mentioned_across_regions = 48;
   // A digest of fewer nodes than this share of the last one's is taken only when no fuller one comes: its sender has
   // just begun to sum up, or hears only some of its zone.
-  double fuller_share = 0.8;
+  double min_completeness = 0.8;
 };
 
 // One message for several nodes.
@@ -71,11 +71,11 @@
 class FleetExchange {
  public:
   // `topology` outlives it.
-  FleetExchange(const FleetExchangeKnobs& knobs, PeerNode self, const Topology& topology)
-      : knobs_(knobs), self_(std::move(self)), topology_(topology) {}
+  FleetExchange(const FleetExchangeParameters& parameters, PeerNode self, const Topology& topology)
+      : parameters_(parameters), self_(std::move(self)), topology_(topology) {}
 
   // Whether the fleet is too large for each to hear each.
-  bool IsLarge(const std::vector<PeerNode>& peers) const { return peers.size() > knobs_.direct_peers; }
+  bool IsLarge(const std::vector<PeerNode>& peers) const { return peers.size() > parameters_.direct_peers; }
 
   // A report of a node that this one aggregates for, or a digest. Returns whether it is a newer digest of the fleet.
   bool Note(const PeerReport& report, Time now);
@@ -106,12 +106,12 @@
 
   std::vector<PeerNode> ChooseAggregators(Time now, const std::vector<PeerNode>& peers);
   void Aggregate(const PeerReport& report, Time now);
-  void NoteNews(const PeerReport& report, Time now);
+  void RecordCacheUpdates(const PeerReport& report, Time now);
   void Forget(Time now);
   // Whether zones of both tell each other themselves.
-  bool IsNear(std::string_view zone) const { return !topology_.HasRegions() || topology_.IsOwnRegion(zone); }
-  void NoteZone(const PeerReport& report, Time now);
-  void NoteRegion(const PeerReport& report, Time now);
+  bool IsNear(std::string_view zone) const { return !topology_.HasMultipleRegions() || topology_.IsOwnRegion(zone); }
+  void RecordZoneDigest(const PeerReport& report, Time now);
+  void RecordRegionDigest(const PeerReport& report, Time now);
   PeerReport Sum(ReportScope scope, const PeerReport& own, Time now);
   void SendZoneDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
                       std::vector<FleetMessage>& messages);
@@ -120,28 +120,29 @@
   void SendRegionDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
                         const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages);
   // Tells the own region's aggregators what came from other regions since the last call.
-  void PassRegionDigests(Time now, const std::vector<PeerNode>& peers, const std::vector<PeerNode>& own_zone,
-                         std::vector<FleetMessage>& messages);
-  bool SpeaksForRegion(const std::vector<PeerNode>& own_zone) const;
+  void ForwardRegionDigests(Time now, const std::vector<PeerNode>& peers, const std::vector<PeerNode>& own_zone,
+                            std::vector<FleetMessage>& messages);
+  bool IsRegionRepresentative(const std::vector<PeerNode>& own_zone) const;
   std::vector<std::string> AggregatorsOfRegion(std::string_view region, const std::vector<PeerNode>& peers) const;
-  void TakeView(const PeerReport& digest, Time now);
+  void UpdateView(const PeerReport& digest, Time now);
   // Whether `known` is to be kept although `report` came after it; `interval`: between two of its sender's.
-  bool IsFuller(const PeerReport& known, Time known_at, const PeerReport& report, Time now, Duration interval) const;
-  std::vector<PeerNode> NextMembers(ReportScope scope);
+  bool IsMoreComplete(const PeerReport& known, Time known_at, const PeerReport& report, Time now,
+                      Duration interval) const;
+  std::vector<PeerNode> NextMentionedPeers(ReportScope scope);
 
-  FleetExchangeKnobs knobs_;
+  FleetExchangeParameters parameters_;
   PeerNode self_;
   const Topology& topology_;
   std::map<std::string, Asked> asked_;           // Aggregators of this node.
-  std::map<std::string, Time> aside_until_;      // Aggregators that were silent.
+  std::map<std::string, Time> excluded_until_;   // Aggregators that were silent.
   std::map<std::string, Heard> nodes_;           // Of this zone, that report to this node.
   std::map<std::string, Heard> zones_;           // Other zones' newest digests.
   std::map<std::string, Heard> zone_senders_;    // Aggregators of other zones, by node.
   std::map<std::string, Heard> regions_;         // Other regions' newest digests.
   std::map<std::string, Heard> region_senders_;  // Aggregators that speak for other regions, by node.
-  std::map<std::string, Heard> to_pass_;         // Digests of regions that no other node of this region has, by node.
+  std::map<std::string, Heard> to_forward_;      // Digests of regions that no other node of this region has, by node.
   std::unordered_map<KeptPart, Passed, KeptPartHash> news_;
-  std::map<EngineKey, EngineWork> own_told_;  // What this node reported last.
+  std::map<EngineKey, EngineWork> own_reported_work_;  // What this node reported last.
   std::vector<ServiceDemand> own_demand_;
   PeerReport view_;
   Time view_heard_{};
--- a/src/core/serving/limit_steps.cc
+++ b/src/core/serving/limit_steps.cc
@@ -9,8 +9,8 @@
 namespace saltquay::serving {
 namespace {
 
-std::string_view NameOf(limits::HomeChange::Kind kind) {
-  using Kind = limits::HomeChange::Kind;
+std::string_view NameOf(limits::OwnershipChange::Kind kind) {
+  using Kind = limits::OwnershipChange::Kind;
   switch (kind) {
     case Kind::TookOver:
       return "took over";
@@ -18,9 +18,9 @@
       return "handed over";
     case Kind::Received:
       return "received";
-    case Kind::Silent:
+    case Kind::Unresponsive:
       return "silent";
-    case Kind::HeardAgain:
+    case Kind::Responsive:
       return "heard again";
   }
   return "";
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-std::int64_t CostOf(const limits::TenantLimit& limit, const RequestFacts& facts) {
+std::int64_t CostOf(const limits::TenantLimit& limit, const RequestMetadata& facts) {
   if (limit.unit == limits::LimitUnit::Requests) return 1;
   if (!facts.prompt) return limit.plain_cost;
   return static_cast<std::int64_t>(facts.prompt->tokens) + facts.prompt->output_tokens;
@@ -58,31 +58,31 @@
 }
 
 void ServingCore::AdmitByLimit(Flow& flow) {
-  if (limiter_ == nullptr || flow.limited_cost == 0) return BeginServing(flow);
-  OnLimitDecided(flow, limiter_->admit(now_, flow.id, flow.tenant, flow.limited_cost));
+  if (limiter_ == nullptr || flow.limit_cost == 0) return BeginServing(flow);
+  OnLimitDecided(flow, limiter_->admit(now_, flow.id, flow.tenant, flow.limit_cost));
 }
 
 void ServingCore::OnLimitDecided(Flow& flow, const limits::Decision& decision) {
   constexpr int kTooManyRequests = 429;
   constexpr int kUnavailable = 503;
   flow.limit_pending = decision.verdict == limits::Verdict::Pending;
-  if (flow.limit_pending) return Arm(flow);
+  if (flow.limit_pending) return ScheduleWakeUp(flow);
   flow.limit_home = decision.decided_by;
   if (decision.verdict == limits::Verdict::Admitted) return BeginServing(flow);
   const std::string members =
-      fmt::format(R"(,"tenant":"{}","cost":{},"limit_home":"{}")", flow.tenant, flow.limited_cost, decision.decided_by);
+      fmt::format(R"(,"tenant":"{}","cost":{},"limit_home":"{}")", flow.tenant, flow.limit_cost, decision.decided_by);
   const bool over = decision.over_limit;
   Refuse(flow, over ? kTooManyRequests : kUnavailable,
          over ? "over the tenant's limit" : "the limit's home is not reached", decision.retry_after, members);
 }
 
 void ServingCore::BeginServing(Flow& flow) {
-  allowance_.NoteRequest(flow.service, now_);
+  retry_budget_share_.NoteRequest(flow.service, now_);
   Advance(flow);
 }
 
 void ServingCore::SettleCharge(const Flow& flow) {
-  if (limiter_ == nullptr || flow.limited_cost == 0) return;
+  if (limiter_ == nullptr || flow.limit_cost == 0) return;
   // A reading is no run: what was only read is not held against the tenant.
   if (flow.runs > 0 || flow.relaying) return limiter_->settle(flow.id);
   limiter_->refund(now_, flow.id);
@@ -90,7 +90,7 @@
 
 void ServingCore::On(const NodesChanged& event) {
   if (limiter_ == nullptr) return;
-  limiter_->set_reach(now_, event.reach);
+  limiter_->set_reachable_nodes(now_, event.reach);
   limiter_->set_nodes(now_, event.nodes);
 }
 
@@ -106,18 +106,18 @@
   const std::optional<Time> due = limiter_->next_deadline();
   if (due && *due <= now_) limiter_->step(now_);
   limits::LimiterOutput output = limiter_->take_output();
-  for (const limits::LateDecision& late : output.decisions) {
+  for (const limits::DeferredDecision& late : output.decisions) {
     Flow* flow = FindFlow(late.request);
     if (flow != nullptr) OnLimitDecided(*flow, late.decision);
   }
   limits::LimiterOutput after = limiter_->take_output();
   output.messages.insert(output.messages.end(), after.messages.begin(), after.messages.end());
   output.changes.insert(output.changes.end(), after.changes.begin(), after.changes.end());
-  for (const limits::HomeChange& change : output.changes) LogHomeChange(change);
+  for (const limits::OwnershipChange& change : output.changes) LogOwnershipChange(change);
   if (!output.messages.empty()) actions_->push_back(SendLimitMessages{std::move(output.messages)});
 }
 
-void ServingCore::LogHomeChange(const limits::HomeChange& change) {
+void ServingCore::LogOwnershipChange(const limits::OwnershipChange& change) {
   Log(EventId::kLimitHome, nullptr,
       fmt::format(R"("change":"{}","tenant":"{}","node":"{}","level":{:.0f})", NameOf(change.kind), change.tenant,
                   change.node, change.level));
--- a/src/core/serving/node_ranking.cc
+++ b/src/core/serving/node_ranking.cc
@@ -40,7 +40,7 @@
   return nodes;
 }
 
-std::vector<RankedNode> SpreadOverZones(std::span<const RankedNode> ranked, std::size_t count) {
+std::vector<RankedNode> PickAcrossZones(std::span<const RankedNode> ranked, std::size_t count) {
   struct Placed {
     std::size_t place = 0;  // In its zone.
     RankedNode node;
--- a/src/core/serving/node_ranking.h
+++ b/src/core/serving/node_ranking.h
@@ -26,6 +26,6 @@
 std::vector<RankedNode> RankZone(const PeerNode& self, std::span<const PeerNode> peers, std::string_view zone);
 
 // The first `count` of nodes that are ranked best first, in as many different zones as there are.
-std::vector<RankedNode> SpreadOverZones(std::span<const RankedNode> ranked, std::size_t count);
+std::vector<RankedNode> PickAcrossZones(std::span<const RankedNode> ranked, std::size_t count);
 
 }  // namespace saltquay::serving
--- a/src/core/serving/peer_table.cc
+++ b/src/core/serving/peer_table.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "src/core/serving/turns.h"
+#include "src/core/serving/round_robin.h"
 
 namespace saltquay::serving {
 namespace {
@@ -42,11 +42,11 @@
   if (known && !newer) return false;
   entry.report = report;
   entry.heard = now;
-  NoteNamed(report, now);
+  RecordMentionedPeers(report, now);
   return true;
 }
 
-void PeerTable::NoteNamed(const PeerReport& report, Time now) {
+void PeerTable::RecordMentionedPeers(const PeerReport& report, Time now) {
   for (const PeerNode& peer : report.peers) {
     if (peer.node != own_node_) named_[peer.node] = {peer, now};
   }
@@ -98,7 +98,9 @@
   return static_cast<int>(heard) + 1;
 }
 
-std::vector<PeerNode> PeerTable::NextNodes(std::size_t most) { return TakeByTurns(Nodes(), most, next_node_); }
+std::vector<PeerNode> PeerTable::NextPeersToMention(std::size_t most) {
+  return TakeRoundRobin(Nodes(), most, next_node_);
+}
 
 std::vector<RecordMark> PeerTable::LastChanges() const {
   std::map<std::string, std::int64_t> last;
@@ -154,7 +156,7 @@
   return sum;
 }
 
-bool PeerTable::OwnNameIsLeast(const std::vector<PeerNode>& nodes) const {
+bool PeerTable::HasLowestName(const std::vector<PeerNode>& nodes) const {
   return std::none_of(nodes.begin(), nodes.end(),
                       [&](const PeerNode& node) { return !node.stopping && node.node < own_node_; });
 }
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -86,9 +86,9 @@
   bool stopping = false;
 };
 
-// Whose work a report tells of; kRegionPassed: of another region, told on within this one; kUsage: of a node's requests
-// by tenant only, for who holds the duties; kLimits: only what nodes tell each other of tenants' limits.
-enum class ReportScope : std::uint8_t { kNode, kZone, kFleet, kUsage, kLimits, kRegion, kRegionPassed };
+// Whose work a report tells of; kRegionForwarded: of another region, told on within this one; kUsage: of a node's
+// requests by tenant only, for who holds the duties; kLimits: only what nodes tell each other of tenants' limits.
+enum class ReportScope : std::uint8_t { kNode, kZone, kFleet, kUsage, kLimits, kRegion, kRegionForwarded };
 
 struct PeerReport {
   ReportScope scope = ReportScope::kNode;
@@ -125,7 +125,7 @@
   void Expire(Time now);
 
   // Takes over whom others name; for reports of a zone or of the fleet.
-  void NoteNamed(const PeerReport& report, Time now);
+  void RecordMentionedPeers(const PeerReport& report, Time now);
 
   // Nodes that this one hears itself, this one included.
   int Count() const { return static_cast<int>(peers_.size()) + 1; }
@@ -138,7 +138,7 @@
   // Nodes that this one heard itself within the last `age`, this one included.
   int CountHeard(Time now, Duration age) const;
   // At most `most` of them, others each time: what one report names.
-  std::vector<PeerNode> NextNodes(std::size_t most);
+  std::vector<PeerNode> NextPeersToMention(std::size_t most);
   // The newest mark of the duties' lease that any node heard knows.
   LeaseMark NewestLease() const;
   // Of each kind of the store's objects, the last change that any node heard knows.
@@ -152,7 +152,7 @@
   // Demand of all other nodes, and the mean of the reading depths that they told.
   ServiceDemand Demand(const std::string& service) const;
   // Returns whether this node's name is before those of all `nodes` that do not stop.
-  bool OwnNameIsLeast(const std::vector<PeerNode>& nodes) const;
+  bool HasLowestName(const std::vector<PeerNode>& nodes) const;
 
  private:
   struct Entry {
@@ -165,7 +165,7 @@
     PeerNode node;
     Time heard{};
   };
-  std::size_t next_node_ = 0;           // Where NextNodes goes on.
+  std::size_t next_node_ = 0;           // Where NextPeersToMention goes on.
   std::map<std::string, Named> named_;  // By others.
 };
 
--- a/src/core/serving/kept_parts.h
+++ b/src/core/serving/prompt_cache_index.h
@@ -13,22 +13,22 @@
 
 namespace saltquay::serving {
 
-class KeptParts {
+class PromptCacheIndex {
  public:
   // A part is kept for about `memory` after its last use.
-  explicit KeptParts(Duration memory) : memory_(memory) {}
+  explicit PromptCacheIndex(Duration memory) : memory_(memory) {}
 
   // Notes that the engine reads the prompt: its shared parts are there then.
-  void NotePrompt(const EngineKey& engine, const PromptFacts& prompt, Time now);
+  void RecordPrefill(const EngineKey& engine, const PromptMetadata& prompt, Time now);
   // A peer's news of the same kind.
-  void NoteKept(const KeptPart& kept, Time now);
+  void RecordCachedPart(const KeptPart& kept, Time now);
   // What this node noted by itself since `since`, for the peers.
-  std::vector<KeptPart> NewsSince(Time since);
+  std::vector<KeptPart> CacheUpdatesSince(Time since);
   // Tokens that the engine would read of the prompt.
-  int TokensToRead(const EngineKey& engine, const PromptFacts& prompt, Time now) const;
+  int TokensToPrefill(const EngineKey& engine, const PromptMetadata& prompt, Time now) const;
   // Engines that were the last to be known to keep the longest of the prompt's beginnings that any keeps; some only
   // where there are many.
-  const std::vector<EngineKey>& KeepersOf(const PromptFacts& prompt) const;
+  const std::vector<EngineKey>& EnginesCaching(const PromptMetadata& prompt) const;
 
  private:
   bool Keeps(const EngineKey& engine, const PromptPart& part, Time now) const;
@@ -42,7 +42,7 @@
 };
 
 // Prompt tokens in parts that other requests share, and those of the request itself.
-int SharedTokens(const PromptFacts& prompt);
-int OwnTokens(const PromptFacts& prompt);
+int SharedTokens(const PromptMetadata& prompt);
+int UnsharedTokens(const PromptMetadata& prompt);
 
 }  // namespace saltquay::serving
--- a/src/core/serving/retry_allowance.h
+++ b/src/core/serving/retry_budget_share.h
@@ -21,14 +21,14 @@
 
 // Why an arrival counts against the budget.
 enum class ExtraArrival {
-  kRunRepeated,      // A run after the first.
-  kReadingRepeated,  // A reading of the prompt after the first.
-  kReadingRefused,   // The first reading, which the engine did not take up.
+  kExecutionRetried,  // A run after the first.
+  kPrefillRetried,    // A reading of the prompt after the first.
+  kPrefillRefused,    // The first reading, which the engine did not take up.
 };
 
 inline std::string_view NameOf(ExtraArrival cause) {
-  if (cause == ExtraArrival::kRunRepeated) return "run repeated";
-  return cause == ExtraArrival::kReadingRepeated ? "reading repeated" : "reading refused";
+  if (cause == ExtraArrival::kExecutionRetried) return "run repeated";
+  return cause == ExtraArrival::kPrefillRetried ? "reading repeated" : "reading refused";
 }
 
 struct RetryBudgetBounds {
@@ -38,16 +38,16 @@
   double safety = 0.8;
   // Nodes that were there so long ago still have their share of the slack, in windows. A cut that lasts longer lets
   // each side take the whole.
-  int remembered_windows = 12;
+  int node_count_windows = 12;
 };
 
-class RetryAllowance {
+class RetryBudgetShare {
  public:
-  explicit RetryAllowance(const RetryBudgetBounds& bounds)
-      : bounds_(bounds), counts_(bounds.remembered_windows * bounds.window) {}
+  explicit RetryBudgetShare(const RetryBudgetBounds& bounds)
+      : bounds_(bounds), counts_(bounds.node_count_windows * bounds.window) {}
 
   // This process may not be the node's first: what an earlier one spent in this window is not known.
-  void BeginAfterRestart(Time now) { slack_from_ = now + bounds_.window; }
+  void BeginAfterRestart(Time now) { slack_available_from_ = now + bounds_.window; }
 
   // `nodes`: how many share the slack now. The most of the remembered windows count.
   void set_nodes(int nodes, Time now) {
@@ -55,32 +55,32 @@
     nodes_ = counts_.Get();
   }
 
-  void NoteRequest(const std::string& service, Time now) { Trimmed(service, now).requests.push_back(now); }
+  void NoteRequest(const std::string& service, Time now) { PrunedUsage(service, now).requests.push_back(now); }
   // An extra arrival that was not asked for beforehand.
-  void NoteExtra(const std::string& service, Time now) { Trimmed(service, now).extras.push_back(now); }
+  void RecordExtraArrival(const std::string& service, Time now) { PrunedUsage(service, now).extras.push_back(now); }
 
-  // Takes one extra arrival beside what `at_risk` calls may cost; returns false
+  // Takes one extra arrival beside what `unsettled_calls` calls may cost; returns false
   // when the window's share is spent.
-  bool TryTake(const std::string& service, Time now, int at_risk = 0) {
-    if (!MayTake(service, now, at_risk)) return false;
-    NoteExtra(service, now);
+  bool TryTake(const std::string& service, Time now, int unsettled_calls = 0) {
+    if (!MayTake(service, now, unsettled_calls)) return false;
+    RecordExtraArrival(service, now);
     return true;
   }
   // The same, without taking it.
-  bool MayTake(const std::string& service, Time now, int at_risk) {
-    return Left(service, now) >= 1 + usage_[service].refused_share * at_risk;
+  bool MayTake(const std::string& service, Time now, int unsettled_calls) {
+    return Left(service, now) >= 1 + usage_[service].refused_share * unsettled_calls;
   }
 
   // Whether one more call may be sent that costs an extra arrival only if it is
-  // refused, with `at_risk` such calls under way: as long as what they will
+  // refused, with `unsettled_calls` such calls under way: as long as what they will
   // cost by the share of late that was refused is left.
-  bool MayRisk(const std::string& service, Time now, int at_risk) {
-    const double expected = usage_[service].refused_share * (at_risk + 1);
+  bool MayStartUnsettled(const std::string& service, Time now, int unsettled_calls) {
+    const double expected = usage_[service].refused_share * (unsettled_calls + 1);
     return Left(service, now) >= expected;
   }
   // The outcome of a call at risk. The share follows refusals at once and
   // forgets them slowly.
-  void NoteRisked(const std::string& service, bool refused) {
+  void RecordSettledCall(const std::string& service, bool refused) {
     constexpr double kUp = 0.4;
     constexpr double kDown = 0.03;
     double& share = usage_[service].refused_share;
@@ -92,16 +92,16 @@
 
   // Extra arrivals that are left now.
   double Left(const std::string& service, Time now) {
-    const Usage& usage = Trimmed(service, now);
+    const Usage& usage = PrunedUsage(service, now);
     const double earned = bounds_.ratio * static_cast<double>(usage.requests.size());
-    const double slack = now < slack_from_ ? 0 : bounds_.slack / (nodes_ + kNodesToCome);
+    const double slack = now < slack_available_from_ ? 0 : bounds_.slack / (nodes_ + kUnseenNodes);
     const double allowed = bounds_.safety * (earned + slack);
     return allowed - static_cast<double>(usage.extras.size());
   }
 
  private:
   // Nodes that may be added before they are heard of.
-  static constexpr int kNodesToCome = 1;
+  static constexpr int kUnseenNodes = 1;
 
   struct Usage {
     std::deque<Time> requests;
@@ -109,7 +109,7 @@
     double refused_share = 0;  // Of the calls at risk, lately.
   };
 
-  Usage& Trimmed(const std::string& service, Time now) {
+  Usage& PrunedUsage(const std::string& service, Time now) {
     Usage& usage = usage_[service];
     const Time start = now - bounds_.window;
     while (!usage.requests.empty() && usage.requests.front() < start) usage.requests.pop_front();
@@ -118,7 +118,7 @@
   }
 
   RetryBudgetBounds bounds_;
-  Time slack_from_{};
+  Time slack_available_from_{};
   // Until the peers are known a node has no part of the slack: with many nodes, all of them started again at once,
   // a guess would be spent many times over.
   int nodes_ = 1000000;
--- a/src/core/serving/budget_steps.cc
+++ b/src/core/serving/retry_budget_steps.cc
@@ -5,18 +5,18 @@
 
 namespace saltquay::serving {
 
-void ServingCore::ChargeExtra(const Flow& flow, ExtraArrival cause) {
-  allowance_.NoteExtra(flow.service, now_);
+void ServingCore::ChargeRetryBudget(const Flow& flow, ExtraArrival cause) {
+  retry_budget_share_.RecordExtraArrival(flow.service, now_);
   Log(EventId::kExtraArrival, &flow,
       fmt::format(R"("service":"{}","cause":"{}","allowance":{:.1f},"sharers":{})", flow.service, NameOf(cause),
-                  allowance_.Left(flow.service, now_), allowance_.sharers()));
+                  retry_budget_share_.Left(flow.service, now_), retry_budget_share_.sharers()));
   actions_->push_back(ExtraArrivalCounted{flow.service, cause});
 }
 
-void ServingCore::SettleFirstReading(const Flow& flow, bool taken_up) {
+void ServingCore::SettleFirstPrefill(const Flow& flow, bool taken_up) {
   if (flow.prefills != 1) return;
-  if (!taken_up) ChargeExtra(flow, ExtraArrival::kReadingRefused);
-  allowance_.NoteRisked(flow.service, !taken_up);
+  if (!taken_up) ChargeRetryBudget(flow, ExtraArrival::kPrefillRefused);
+  retry_budget_share_.RecordSettledCall(flow.service, !taken_up);
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/role_controller.cc
+++ b/src/core/serving/role_controller.cc
@@ -23,43 +23,47 @@
 
 }  // namespace
 
-RoleController::RoleController(const RoleControllerKnobs& knobs, DutyLease& lease, const Topology& topology,
+RoleController::RoleController(const RoleControllerParameters& parameters, DutyLease& lease, const Topology& topology,
                                Time started)
-    : knobs_(knobs), lease_(lease), topology_(topology), started_(started), order_ends_(knobs.order_ends) {}
+    : parameters_(parameters),
+      lease_(lease),
+      topology_(topology),
+      started_(started),
+      order_crashes_(parameters.order_crashes) {}
 
 void RoleController::OnTick(Time now, bool candidate, const ServingConfig& config, const DemandSum& demand,
                             EngineDirectory& engines, std::vector<RoleAction>& actions) {
   // A record that shows the new stage ends the wait for it.
   for (auto entry = away_.begin(); entry != away_.end();) {
-    const bool is_over = SettleChange(entry->first, entry->second, engines, now, actions);
+    const bool is_over = IsChangeOver(entry->first, entry->second, engines, now, actions);
     entry = is_over ? away_.erase(entry) : std::next(entry);
   }
   std::vector<std::string> held;
   for (const auto& [engine_id, change] : changes_) {
     if (change.phase == Phase::kHolding) held.push_back(engine_id);
   }
-  for (const std::string& engine_id : held) ContinueHold(now, changes_.at(engine_id), engines, actions);
-  if (!candidate || now < started_ + knobs_.settle_in || now < next_plan_) return;
-  next_plan_ = now + knobs_.plan_interval;
+  for (const std::string& engine_id : held) AdvanceHeldChange(now, changes_.at(engine_id), engines, actions);
+  if (!candidate || now < started_ + parameters_.startup_delay || now < next_plan_) return;
+  next_plan_ = now + parameters_.plan_interval;
   Plan(now, config, demand, engines, actions);
 }
 
-bool RoleController::SettleChange(const std::string& engine_id, Away& away, const EngineDirectory& engines, Time now,
+bool RoleController::IsChangeOver(const std::string& engine_id, Away& away, const EngineDirectory& engines, Time now,
                                   std::vector<RoleAction>& actions) {
   const auto known = engines.all().find(engine_id);
   const bool is_gone = known == engines.all().end() || known->second.gone;
   if (is_gone && !away.leaves) {
     const std::uint64_t order = OrderKey(away.service, away.stage);
-    order_ends_.NoteEnd(order, engine_id, now, now);
+    order_crashes_.RecordCrash(order, engine_id, now, now);
     actions.push_back(LogRole{EventId::kEngineEnded,
                               fmt::format(R"("engine":"{}","ordered_to":"{}","ends_under_the_order":{},"paused":{})",
-                                          engine_id, StageName(away.stage), order_ends_.Ends(order),
-                                          order_ends_.QuarantineLeft(order, now).has_value())});
+                                          engine_id, StageName(away.stage), order_crashes_.Ends(order),
+                                          order_crashes_.QuarantineRemaining(order, now).has_value())});
   }
   if (is_gone) return true;
   away.leaves = away.leaves || known->second.record.leaving;
   if (known->second.changing_until == Time{}) {
-    order_ends_.NoteServed(OrderKey(away.service, away.stage), now);
+    order_crashes_.NoteServed(OrderKey(away.service, away.stage), now);
     return true;
   }
   return now >= away.until;
@@ -69,60 +73,61 @@
                           std::vector<RoleAction>& actions) {
   for (const Service& service : config.services) {
     if (!service.language) continue;
-    const std::vector<RolePool> groups = GroupsOf(service, engines);
+    const std::vector<RolePool> groups = PoolsOf(service, engines);
     // What is kept of a stage is kept by all regions together: one that lacks it borrows from the others.
-    RolePlannerKnobs planner = knobs_.planner;
+    RolePlannerParameters planner = parameters_.planner;
     const auto regions = static_cast<int>(groups.size());
     planner.keep = (planner.keep + regions - 1) / regions;
     for (const RolePool& group : groups) {
-      PlanGroup(now, service, group, planner, demand.Of(service.name, group.region), engines, actions);
+      PlanRolePool(now, service, group, planner, demand.Of(service.name, group.region), engines, actions);
     }
   }
 }
 
-std::vector<RoleController::RolePool> RoleController::GroupsOf(const Service& service, EngineDirectory& engines) const {
+std::vector<RoleController::RolePool> RoleController::PoolsOf(const Service& service, EngineDirectory& engines) const {
   const RolePool whole{service.name, ""};
-  if (!topology_.HasRegions()) return {whole};
+  if (!topology_.HasMultipleRegions()) return {whole};
   std::map<std::string, int> in_region;
   engines.ForEachServing(
       service.name, [&](EngineState& engine) { ++in_region[std::string(topology_.RegionOf(engine.record.zone))]; });
   std::vector<RolePool> groups;
   for (const auto& [region, count] : in_region) {
-    if (count < knobs_.least_in_region) return {whole};
+    if (count < parameters_.min_engines_per_region) return {whole};
     groups.push_back({service.name, region});
   }
   return groups.size() > 1 ? groups : std::vector<RolePool>{whole};
 }
 
-void RoleController::PlanGroup(Time now, const Service& service, const RolePool& group, const RolePlannerKnobs& planner,
-                               const ServiceDemand& asked, EngineDirectory& engines, std::vector<RoleAction>& actions) {
+void RoleController::PlanRolePool(Time now, const Service& service, const RolePool& group,
+                                  const RolePlannerParameters& planner, const ServiceDemand& asked,
+                                  EngineDirectory& engines, std::vector<RoleAction>& actions) {
   StageCounts counts = CountStages(now, engines, group);
   counts.places = service.language ? service.language->slots : 0;
   const bool idle = planner.IsIdle(asked);
-  accepted_cooldown_[group] = idle ? knobs_.idle_cooldown : knobs_.cooldown;
+  accepted_cooldown_[group] = idle ? parameters_.idle_cooldown : parameters_.cooldown;
   LogPlan(now, group, asked, counts, actions);
   const bool empty_stage = (counts.prefill == 0) != (counts.decode == 0);
   const std::optional<StageChangePlan> plan = PlanStageChange(planner, asked, counts);
-  if (idle) wishes_.erase(group);
-  const bool persists = idle || Persists(now, service, group, plan, counts);
-  if (!empty_stage && now < cooled_at_[group]) return;
-  if (plan && order_ends_.QuarantineLeft(OrderKey(service.name, plan->stage), now)) return;
+  if (idle) pending_plans_.erase(group);
+  const bool persists = idle || HasPersisted(now, service, group, plan, counts);
+  if (!empty_stage && now < cooldown_until_[group]) return;
+  if (plan && order_crashes_.QuarantineRemaining(OrderKey(service.name, plan->stage), now)) return;
   if (!plan || PickEngine(engines, group, OtherStage(plan->stage), now) == nullptr) return;
-  if (!lease_.MayOrder(now, knobs_.order_time)) return lease_.Want(now);
+  if (!lease_.IsHeldFor(now, parameters_.order_time)) return lease_.Want(now);
   if (persists) BeginChanges(now, service, group, *plan, engines, actions);
 }
 
-bool RoleController::Persists(Time now, const Service& service, const RolePool& group,
-                              const std::optional<StageChangePlan>& plan, const StageCounts& counts) {
+bool RoleController::HasPersisted(Time now, const Service& service, const RolePool& group,
+                                  const std::optional<StageChangePlan>& plan, const StageCounts& counts) {
   if (!plan) {
-    wishes_.erase(group);
+    pending_plans_.erase(group);
     return false;
   }
-  Wish& wish = wishes_[group];
+  PendingPlan& wish = pending_plans_[group];
   if (wish.stage != plan->stage) wish = {plan->stage, now};
   // Engines that come back would do as well, and sooner than any that are turned now.
   const int out = plan->stage == EngineStage::kPrefill ? counts.prefill_out : counts.decode_out;
-  const Duration needed = out >= plan->engines ? service.language->role_change : knobs_.persistence;
+  const Duration needed = out >= plan->engines ? service.language->role_change : parameters_.persistence;
   return now - wish.since >= needed;
 }
 
@@ -167,8 +172,8 @@
                              std::vector<RoleAction>& actions) {
   Time& next = next_plan_log_[group];
   if (now < next) return;
-  next = now + knobs_.plan_log_interval;
-  const double ideal = IdealPrefillEngines(knobs_.planner, asked, counts.prefill + counts.decode, counts.places);
+  next = now + parameters_.plan_log_interval;
+  const double ideal = IdealPrefillEngines(parameters_.planner, asked, counts.prefill + counts.decode, counts.places);
   actions.push_back(LogRole{
       EventId::kRolePlan,
       fmt::format(
@@ -192,8 +197,8 @@
   const EngineState* best = nullptr;
   const auto work = [](const EngineState& engine) { return engine.outstanding + engine.peers_outstanding; };
   engines.ForEachServing(group.service, [&](EngineState& engine) {
-    const auto settled = settled_at_.find(engine.record.id);
-    const bool unsettled = settled != settled_at_.end() && now < settled->second;
+    const auto settled = unanswered_until_.find(engine.record.id);
+    const bool unsettled = settled != unanswered_until_.end() && now < settled->second;
     if (!fits(engine) || now < engine.ejected_until || unsettled) return;
     if (best == nullptr) {
       best = &engine;
@@ -205,8 +210,8 @@
   return best;
 }
 
-void RoleController::ContinueHold(Time now, Change& change, EngineDirectory& engines,
-                                  std::vector<RoleAction>& actions) {
+void RoleController::AdvanceHeldChange(Time now, Change& change, EngineDirectory& engines,
+                                       std::vector<RoleAction>& actions) {
   const std::string engine_id = change.engine_id;
   const EngineState* engine = engines.Find(engine_id);
   if (engine == nullptr || engine->gone || engine->record.leaving) {
@@ -214,10 +219,10 @@
     return;
   }
   const int work = engine->outstanding + engine->peers_outstanding;
-  const bool short_queue = work <= knobs_.short_queue && now >= change.began + knobs_.shortest_hold;
-  if (!short_queue && now < change.began + knobs_.longest_hold) return;
-  if (!lease_.MayOrder(now, knobs_.order_time)) {
-    if (now < change.began + knobs_.longest_hold * 2) return lease_.Want(now);
+  const bool short_queue = work <= parameters_.short_queue && now >= change.began + parameters_.min_hold;
+  if (!short_queue && now < change.began + parameters_.max_hold) return;
+  if (!lease_.IsHeldFor(now, parameters_.order_time)) {
+    if (now < change.began + parameters_.max_hold * 2) return lease_.Want(now);
     changes_.erase(engine_id);  // The lease is another node's by now.
     return;
   }
@@ -225,15 +230,15 @@
   actions.push_back(ReadEngineState{engine_id, change.address});
 }
 
-void RoleController::OnEngineState(Time now, const std::string& engine_id,
-                                   const std::optional<EngineStateReport>& report, EngineDirectory& /*engines*/,
-                                   std::vector<RoleAction>& actions) {
+void RoleController::OnEngineStateRead(Time now, const std::string& engine_id,
+                                       const std::optional<EngineStateReport>& report, EngineDirectory& /*engines*/,
+                                       std::vector<RoleAction>& actions) {
   Change* change = FindChange(engine_id, Phase::kReading);
   if (change == nullptr) return;
   // Between the reading and the order the lease may have run out.
-  const bool fit = report && !report->busy && report->stage != change->stage && lease_.MayOrder(now);
+  const bool fit = report && !report->busy && report->stage != change->stage && lease_.IsHeldFor(now);
   if (!fit) {
-    cooled_at_[change->group] = now + knobs_.idle_cooldown;
+    cooldown_until_[change->group] = now + parameters_.idle_cooldown;
     changes_.erase(engine_id);
     return;
   }
@@ -253,11 +258,11 @@
     const Time until = now + change->away + kDrainTime;
     away_[engine_id] = Away{until, change->stage, change->group.service};
     if (EngineState* engine = engines.Find(engine_id)) engine->changing_until = until;
-    cooled_at_[change->group] = now + accepted_cooldown_[change->group];
+    cooldown_until_[change->group] = now + accepted_cooldown_[change->group];
   } else {
-    cooled_at_[change->group] = now + knobs_.idle_cooldown;
+    cooldown_until_[change->group] = now + parameters_.idle_cooldown;
   }
-  if (outcome == OrderOutcome::kUnknown) settled_at_[engine_id] = now + knobs_.order_settle;
+  if (outcome == OrderOutcome::kUnknown) unanswered_until_[engine_id] = now + parameters_.unanswered_order_timeout;
   if (outcome == OrderOutcome::kFenced) lease_.OnFenced();
   actions.push_back(LogRole{EventId::kOrderAnswered,
                             fmt::format(R"("engine":"{}","outcome":{})", engine_id, static_cast<int>(outcome))});
