--- a/src/core/serving/role_planner.cc
+++ b/src/core/serving/role_planner.cc
@@ -5,20 +5,21 @@
 
 namespace saltquay::serving {
 
-double InitialPrefillShare(const RolePlannerKnobs& knobs, int places) {
-  if (places <= 0 || places >= knobs.initial_share_places) return knobs.initial_prefill_share;
-  const double reading = knobs.initial_prefill_share * places;
-  const double answering = (1 - knobs.initial_prefill_share) * knobs.initial_share_places;
+double InitialPrefillShare(const RolePlannerParameters& parameters, int places) {
+  if (places <= 0 || places >= parameters.initial_share_slots) return parameters.initial_prefill_share;
+  const double reading = parameters.initial_prefill_share * places;
+  const double answering = (1 - parameters.initial_prefill_share) * parameters.initial_share_slots;
   return reading / (reading + answering);
 }
 
-double IdealPrefillEngines(const RolePlannerKnobs& knobs, const ServiceDemand& demand, int engines, int places) {
+double IdealPrefillEngines(const RolePlannerParameters& parameters, const ServiceDemand& demand, int engines,
+                           int places) {
   const double prefill = demand.prefill_engines;
   const double decode = demand.decode_engines;
-  if (knobs.IsIdle(demand)) return InitialPrefillShare(knobs, places) * engines;
+  if (parameters.IsIdle(demand)) return InitialPrefillShare(parameters, places) * engines;
   const double spare = engines - prefill - decode;
   if (spare <= 0) return engines * prefill / (prefill + decode);
-  const double prefill_root = std::sqrt(knobs.prefill_weight * prefill);
+  const double prefill_root = std::sqrt(parameters.prefill_weight * prefill);
   const double decode_root = std::sqrt(decode);
   return prefill + spare * prefill_root / (prefill_root + decode_root);
 }
@@ -32,34 +33,34 @@
   return std::min({wanted, serving - keep, allowed});
 }
 
-int MostChanges(const RolePlannerKnobs& knobs, bool idle, int known) {
-  const double share = idle ? knobs.idle_change_share : knobs.change_share;
+int MaxConcurrentChanges(const RolePlannerParameters& parameters, bool idle, int known) {
+  const double share = idle ? parameters.idle_change_share : parameters.change_share;
   return std::max(1, static_cast<int>(share * known));
 }
 
 }  // namespace
 
-std::optional<StageChangePlan> PlanStageChange(const RolePlannerKnobs& knobs, const ServiceDemand& demand,
+std::optional<StageChangePlan> PlanStageChange(const RolePlannerParameters& parameters, const ServiceDemand& demand,
                                                const StageCounts& counts) {
   const int serving = counts.prefill + counts.decode;
   if (serving < 2) return std::nullopt;
-  const bool idle = knobs.IsIdle(demand);
+  const bool idle = parameters.IsIdle(demand);
   const bool empty_stage = (counts.prefill == 0) != (counts.decode == 0);
   const int changing = counts.to_prefill + counts.to_decode;
   // A stage without any engine cannot wait for the changes before.
-  const int allowed = empty_stage ? 1 : MostChanges(knobs, idle, counts.known) - changing;
+  const int allowed = empty_stage ? 1 : MaxConcurrentChanges(parameters, idle, counts.known) - changing;
   if (allowed <= 0) return std::nullopt;
   // What is out may not come back soon, but its loss must not lower what is kept.
-  const int keep = std::min(std::clamp(counts.known / 3, 1, knobs.keep), serving / 2);
+  const int keep = std::min(std::clamp(counts.known / 3, 1, parameters.keep), serving / 2);
   const int engines = serving + changing;
   const int prefill = counts.prefill + counts.to_prefill;
-  const double ideal = std::clamp(IdealPrefillEngines(knobs, demand, engines, counts.places), static_cast<double>(keep),
-                                  static_cast<double>(engines - keep));
-  const double calm = idle ? knobs.initial_deadband : knobs.deadband;
-  const bool prefill_pressed = demand.prefill_engines > knobs.pressed_load * counts.prefill;
-  const bool decode_pressed = demand.decode_engines > knobs.pressed_load * counts.decode;
-  const double prefill_deadband = prefill_pressed && !decode_pressed ? knobs.pressed_deadband : calm;
-  const double decode_deadband = decode_pressed && !prefill_pressed ? knobs.pressed_deadband : calm;
+  const double ideal = std::clamp(IdealPrefillEngines(parameters, demand, engines, counts.places),
+                                  static_cast<double>(keep), static_cast<double>(engines - keep));
+  const double calm = idle ? parameters.initial_deadband : parameters.deadband;
+  const bool prefill_pressed = demand.prefill_engines > parameters.saturated_load * counts.prefill;
+  const bool decode_pressed = demand.decode_engines > parameters.saturated_load * counts.decode;
+  const double prefill_deadband = prefill_pressed && !decode_pressed ? parameters.saturated_deadband : calm;
+  const double decode_deadband = decode_pressed && !prefill_pressed ? parameters.saturated_deadband : calm;
   const double to_prefill = ideal - prefill - prefill_deadband;
   const double to_decode = prefill - ideal - decode_deadband;
   StageChangePlan plan;
--- a/src/core/serving/role_planner.h
+++ b/src/core/serving/role_planner.h
@@ -15,15 +15,15 @@
 
 namespace saltquay::serving {
 
-struct RolePlannerKnobs {
+struct RolePlannerParameters {
   double initial_prefill_share = 0.67;  // Before any demand is known, where an engine has
-  int initial_share_places = 18;        // so many places or more; with fewer, more engines have to answer.
+  int initial_share_slots = 18;         // so many places or more; with fewer, more engines have to answer.
   double prefill_weight = 2.0;          // Waiting to be read delays the first event more.
   double idle_demand = 0.15;            // Below it (both together) demand is not known.
   double initial_deadband = 0.6;        // Engines between the present and the ideal split, before demand is known.
   double deadband = 1.4;                // The same under load: a change costs seconds of an engine.
-  double pressed_deadband = 0.8;        // The same where the stage that would gain is nearly always busy.
-  double pressed_load = 0.85;           // Demand for each engine of a stage, from where it is.
+  double saturated_deadband = 0.8;      // The same where the stage that would gain is nearly always busy.
+  double saturated_load = 0.85;         // Demand for each engine of a stage, from where it is.
   int keep = 3;                         // Of each stage, or a third where there are fewer.
   double change_share = 0.08;           // Of a service's engines that may be changing at one time under load,
   double idle_change_share = 0.34;      // and before any demand is known. One engine always may.
@@ -52,15 +52,16 @@
 
 // Returns the share of the engines that should read before any demand is known. An engine with few places answers as
 // many times fewer requests at once, but reads as fast: more of them have to answer.
-double InitialPrefillShare(const RolePlannerKnobs& knobs, int places);
+double InitialPrefillShare(const RolePlannerParameters& parameters, int places);
 
 // Returns the ideal number of prefill engines of `engines`, as a fraction.
-double IdealPrefillEngines(const RolePlannerKnobs& knobs, const ServiceDemand& demand, int engines, int places = 0);
+double IdealPrefillEngines(const RolePlannerParameters& parameters, const ServiceDemand& demand, int engines,
+                           int places = 0);
 
 // Returns the changes that should begin now, or nothing. A small service
 // changes one engine at a time; a large one several, so that the split follows
 // a shift of the mix as fast as in a small one.
-std::optional<StageChangePlan> PlanStageChange(const RolePlannerKnobs& knobs, const ServiceDemand& demand,
+std::optional<StageChangePlan> PlanStageChange(const RolePlannerParameters& parameters, const ServiceDemand& demand,
                                                const StageCounts& counts);
 
 }  // namespace saltquay::serving
--- a/src/core/serving/turns.h
+++ b/src/core/serving/round_robin.h
@@ -10,7 +10,7 @@
 
 // Returns at most `most` of `items`, from where `next` stands on, and moves it behind them.
 template <typename Item>
-std::vector<Item> TakeByTurns(std::vector<Item> items, std::size_t most, std::size_t& next) {
+std::vector<Item> TakeRoundRobin(std::vector<Item> items, std::size_t most, std::size_t& next) {
   if (items.size() <= most) return items;
   const std::size_t first = next % items.size();
   next = first + most;
--- a/src/core/serving/serving_config.h
+++ b/src/core/serving/serving_config.h
@@ -32,8 +32,8 @@
   std::vector<WeightedService> services;
   RouteKind kind = RouteKind::kAtMostOnce;
   Duration timeout = 10s;
-  Duration objective = 1s;      // Within it an answer (or its first event) has its full worth.
-  Duration gap_objective = 0s;  // Longest pause between events; zero where none is set.
+  Duration objective = 1s;              // Within it an answer (or its first event) has its full worth.
+  Duration inter_event_objective = 0s;  // Longest pause between events; zero where none is set.
   int max_attempts = 1;
   int priority = 5;            // 0 is the most urgent.
   bool prefix_affine = false;  // Requests name the parts of their prompts.
@@ -49,8 +49,8 @@
   std::int64_t kv_capacity_tokens = 0;
   std::int64_t kv_token_bytes = 0;
   double link_mbps = 0;
-  Duration handle_hold = 5s;  // How long a prompt that was read waits to be taken.
-  Duration role_change = 2s;  // How long an engine is away when its stage changes.
+  Duration kv_handle_lifetime = 5s;  // How long a prompt that was read waits to be taken.
+  Duration role_change = 2s;         // How long an engine is away when its stage changes.
 };
 
 // How many engines of a service may be ordered, and what they cost.
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -7,21 +7,21 @@
 
 namespace saltquay::serving {
 
-ServingCore::ServingCore(const ServingKnobs& knobs, const std::string& zone, std::uint64_t seed)
-    : knobs_(knobs),
-      engines_(knobs.ejection),
-      selector_(knobs, zone, seed),
-      allowance_(knobs.retry_budget),
+ServingCore::ServingCore(const ServingParameters& parameters, const std::string& zone, std::uint64_t seed)
+    : parameters_(parameters),
+      engines_(parameters.ejection),
+      selector_(parameters, zone, seed),
+      retry_budget_share_(parameters.retry_budget),
       random_(seed + 1),
-      crashes_(knobs.crashes) {}
+      crashes_(parameters.crashes) {}
 
 void ServingCore::OnEvent(Time now, const Event& event, std::vector<Action>& actions) {
   now_ = now;
   actions_ = &actions;
   std::visit([this](const auto& typed) { On(typed); }, event);
-  if (!end_watch_.empty()) NoteEndedEngines();
+  if (!crash_detector_.empty()) HandleCrashedEngines();
   if (limiter_ != nullptr) StepLimiter();
-  if (dispatch_wanted_ || (next_dispatch_ && now_ >= *next_dispatch_)) DispatchAll();
+  if (dispatch_wanted_ || (next_dispatch_ && now_ >= *next_dispatch_)) DispatchAllPrefills();
   actions_ = nullptr;
 }
 
@@ -45,21 +45,21 @@
 
 void ServingCore::On(const EnginesReplaced& event) {
   engines_.Replace(event.records);
-  for (const EngineRecord& record : event.records) NoteLeaving(record.id);
-  heard_engines_ = true;
+  for (const EngineRecord& record : event.records) RecordLeaving(record.id);
+  engines_listed_ = true;
   Log(EventId::kEngineRecord, nullptr, fmt::format(R"("engines":{},"cause":"listed")", event.records.size()));
 }
 
 void ServingCore::On(const EngineChanged& event) {
   if (!engines_.Update(event.record)) return;
-  NoteLeaving(event.record.id);
+  RecordLeaving(event.record.id);
   Log(EventId::kEngineRecord, nullptr,
       fmt::format(R"("engine":"{}","started_ms":{},"service":"{}","zone":"{}","leaving":{},"stage":{})",
                   event.record.id, event.record.started_ms, event.record.service, event.record.zone,
                   event.record.leaving, static_cast<int>(event.record.stage)));
 }
 
-void ServingCore::NoteLeaving(const std::string& engine_id) {
+void ServingCore::RecordLeaving(const std::string& engine_id) {
   EngineState* engine = engines_.Find(engine_id);
   if (engine == nullptr) return;
   if (!engine->record.leaving) engine->leaving_since.reset();
@@ -71,32 +71,33 @@
   Log(EventId::kEngineRecord, nullptr, fmt::format(R"("engine":"{}","cause":"gone")", event.id));
 }
 
-void ServingCore::On(const StoreContactChanged& event) {
-  if (store_contact_ == event.in_contact) return;
-  store_contact_ = event.in_contact;
-  Log(EventId::kStoreContact, nullptr, fmt::format(R"("in_contact":{})", store_contact_));
+void ServingCore::On(const StoreConnectivityChanged& event) {
+  if (store_connected_ == event.in_contact) return;
+  store_connected_ = event.in_contact;
+  Log(EventId::kStoreContact, nullptr, fmt::format(R"("in_contact":{})", store_connected_));
 }
 
 void ServingCore::On(const PeersChanged& event) {
-  allowance_.set_nodes(event.nodes, now_);
-  peers_told_age_ = event.age;
+  retry_budget_share_.set_nodes(event.nodes, now_);
+  peer_report_age_ = event.age;
   nodes_ = std::max(1, event.nodes);
-  selector_.set_peers_known(event.nodes > 1);
+  selector_.set_has_peer_reports(event.nodes > 1);
   for (const auto& [id, known] : engines_.all()) {
     EngineState& engine = *engines_.Find(id);
     const auto work = event.work.find(engine.key);
     engine.peers_outstanding = work == event.work.end() ? 0 : work->second.outstanding;
     engine.peers_prompt_tokens = work == event.work.end() ? 0 : work->second.prompt_tokens;
   }
-  for (const StandingChange& change : engines_.JudgeByAll(event.work, random_.Unit(), now_)) LogStanding(change);
-  for (const KeptPart& kept : event.kept) selector_.NoteKept(kept, now_);
+  for (const HealthChange& change : engines_.EjectByFleetOutcomes(event.work, random_.Unit(), now_))
+    LogEngineStanding(change);
+  for (const KeptPart& kept : event.kept) selector_.RecordCachedPart(kept, now_);
   for (const EngineHold& hold : event.holds) {
     if (EngineState* engine = engines_.Find(hold.engine_id)) engine->held_until = now_ + hold.left;
   }
   for (const ServiceDemand& demand : event.demand) {
-    ReadingLine& line = LineOf(demand.service);
-    line.peers_demand = demand.prefill_engines;
-    if (demand.reading_depth > 0) line.readers.agree(demand.reading_depth);
+    PrefillState& line = PrefillStateOf(demand.service);
+    line.peer_demand = demand.prefill_engines;
+    if (demand.reading_depth > 0) line.readers.blend_depth(demand.reading_depth);
   }
   dispatch_wanted_ = true;
 }
@@ -126,13 +127,13 @@
 
 // Reading is asked for once by each request, whether an engine had room or not;
 // reading once more is the engines' failure, not the callers' demand.
-void ServingCore::MeterReading(Flow& flow, std::int64_t tokens, bool apart) {
+void ServingCore::MeterPrefillDemand(Flow& flow, std::int64_t tokens, bool apart) {
   constexpr double kSecond = 1000;
   constexpr double kDecodeReadsSlower = 2;
-  if (!flow.language || flow.reading_metered) return;
-  flow.reading_metered = true;
+  if (!flow.language || flow.prefill_metered) return;
+  flow.prefill_metered = true;
   const double seconds = static_cast<double>(tokens) / selector_.read_rate() / kSecond;
-  DemandMeter& meter = demand_.try_emplace(flow.service, knobs_.demand_memory).first->second;
+  DemandMeter& meter = demand_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
   if (apart) {
     meter.prefill.Add(seconds, now_);
     const double pace = std::max(selector_.reading().rate(), selector_.read_rate());
@@ -143,15 +144,15 @@
 }
 
 // Answering is asked for by the share of an engine that it kept, and how long.
-void ServingCore::MeterEnd(const Flow& flow, const Attempt& attempt) {
+void ServingCore::MeterDecodeDemand(const Flow& flow, const Attempt& attempt) {
   if (!flow.language || attempt.mode == AttemptMode::kPrefill) return;
   const Service* service = config_ ? config_->FindService(flow.service) : nullptr;
   if (service == nullptr || !service->language) return;
   const LanguageEngineTraits& traits = *service->language;
-  const double slots = std::max(1.0, knobs_.comfortable_fill * traits.slots);
-  const double memory = std::max(1.0, knobs_.comfortable_fill * static_cast<double>(traits.kv_capacity_tokens));
+  const double slots = std::max(1.0, parameters_.target_utilization * traits.slots);
+  const double memory = std::max(1.0, parameters_.target_utilization * static_cast<double>(traits.kv_capacity_tokens));
   const double share = std::max(1.0 / slots, flow.facts.prompt->tokens / memory);
-  DemandMeter& meter = demand_.try_emplace(flow.service, knobs_.demand_memory).first->second;
+  DemandMeter& meter = demand_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
   meter.decode.Add(share * ToSeconds(now_ - attempt.sent_at), now_);
 }
 
@@ -179,20 +180,21 @@
   const Route* route = config_->FindRoute(event.facts.host, event.facts.path);
   if (route == nullptr) {
     // An unknown route is certain only while the store is heard.
-    return store_contact_ ? Fail(flow, kNotFound, "no route") : Refuse(flow, "no route known, store not heard");
+    return store_connected_ ? Fail(flow, kNotFound, "no route") : Refuse(flow, "no route known, store not heard");
   }
   flow.route = *route;
   if (!Authenticate(flow)) return;
   if (flow.facts.fingerprint != 0) flow.fingerprint = HashPair(flow.facts.fingerprint, HashText(flow.tenant));
-  if (RefuseQuarantined(flow)) return;
+  if (RefuseIfQuarantined(flow)) return;
   flow.service = ChooseService(*route);
   const Service* service = config_->FindService(flow.service);
   flow.language = service != nullptr && service->language && flow.facts.prompt;
   const Duration patience = std::min(route->timeout, event.facts.deadline.value_or(route->timeout));
   flow.ends =
-      now_ + std::max(1ms, std::chrono::duration_cast<std::chrono::milliseconds>(patience - knobs_.answer_margin));
+      now_ +
+      std::max(1ms, std::chrono::duration_cast<std::chrono::milliseconds>(patience - parameters_.response_margin));
   if (route->kind == RouteKind::kRepeatable) {
-    flow.hedge_at = now_ + FromSeconds(ToSeconds(route->objective) * knobs_.hedge_share);
+    flow.hedge_at = now_ + FromSeconds(ToSeconds(route->objective) * parameters_.hedge_delay_share);
   }
   AdmitByLimit(flow);
 }
@@ -206,13 +208,13 @@
   if (tenant != nullptr) {
     flow.tenant = tenant->name;
     flow.route.priority = tenant->priority.value_or(flow.route.priority);
-    if (tenant->limit && tenant->limit->rate_per_s > 0) flow.limited_cost = CostOf(*tenant->limit, flow.facts);
+    if (tenant->limit && tenant->limit->rate_per_s > 0) flow.limit_cost = CostOf(*tenant->limit, flow.facts);
     return true;
   }
   // A key may have been handed out since this node last heard of the configuration; a missing one never helps.
   if (key.empty()) {
     Fail(flow, kUnauthorized, "no key");
-  } else if (store_contact_) {
+  } else if (store_connected_) {
     Fail(flow, kUnauthorized, "unknown key");
   } else {
     Refuse(flow, "unknown key, store not heard");
@@ -222,32 +224,32 @@
 
 // A language engine begins with the first token, which is in its answer's head; others begin when a request reaches
 // them, and answer when they are done.
-void ServingCore::CountRun(Flow& flow, const Attempt& attempt) {
+void ServingCore::CountTenantUsage(Flow& flow, const Attempt& attempt) {
   if (flow.counted || flow.tenant.empty() || attempt.mode == AttemptMode::kPrefill) return;
   flow.counted = true;
-  actions_->push_back(RunBegan{flow.tenant, flow.language ? now_ : attempt.sent_at});
+  actions_->push_back(ExecutionStarted{flow.tenant, flow.language ? now_ : attempt.sent_at});
 }
 
-void ServingCore::CountUnanswered(Flow& flow) {
+void ServingCore::CountUnansweredUsage(Flow& flow) {
   if (flow.language) return;
-  for (const auto& [id, attempt] : flow.attempts) CountRun(flow, attempt);
+  for (const auto& [id, attempt] : flow.attempts) CountTenantUsage(flow, attempt);
 }
 
-void ServingCore::On(const ClientLeft& event) {
+void ServingCore::On(const ClientDisconnected& event) {
   Flow* flow = FindFlow(event.flow);
   if (flow == nullptr) return;
-  CountUnanswered(*flow);
+  CountUnansweredUsage(*flow);
   Log(EventId::kClientLeft, flow, fmt::format(R"("attempts":{})", flow->attempts.size()));
   const bool lets_run = flow->route.kind == RouteKind::kAtMostOnce;
   if (lets_run) {
-    WatchUnattended(*flow);
+    TrackDetachedAttempts(*flow);
   } else {
     CancelAttempts(*flow, 0);
   }
   Erase(flow->id);
 }
 
-void ServingCore::On(const AttemptHead& event) {
+void ServingCore::On(const AttemptHeadReceived& event) {
   constexpr int kFirstError = 500;
   constexpr int kFirstRedirect = 300;
   constexpr int kGatewayTimeout = 504;
@@ -257,50 +259,50 @@
   Attempt& attempt = flow->attempts[event.attempt];
   attempt.head_seen = true;
   attempt.answer = event.answer;
-  end_watch_.NoteHeard(attempt.engine_id, attempt.sent_at, now_);
-  if (event.answer.load) engines_.NoteLoad(attempt.engine_id, *event.answer.load, now_);
+  crash_detector_.NoteHeard(attempt.engine_id, attempt.sent_at, now_);
+  if (event.answer.load) engines_.RecordLoad(attempt.engine_id, *event.answer.load, now_);
   if (!event.answer.not_executed) {
     // An engine that stops at the request's end was late, not sick.
     const bool time_ran_out = event.answer.status == kGatewayTimeout && now_ + kEndTolerance >= flow->ends;
     const bool failed = event.answer.status >= kFirstError && !time_ran_out;
-    LogStanding(engines_.NoteAnswer(attempt.engine_id, failed, now_));
-    CountRun(*flow, attempt);
+    LogEngineStanding(engines_.RecordResponse(attempt.engine_id, failed, now_));
+    CountTenantUsage(*flow, attempt);
   }
   const bool begins = flow->route.kind == RouteKind::kStreaming && attempt.mode != AttemptMode::kPrefill &&
                       event.answer.status < kFirstRedirect && event.answer.signed_by_engine;
   if (!begins) return;
-  NoteTail(*flow);
-  if (attempt.window != nullptr) NoteRead(attempt);
+  RecordDecodeStart(*flow);
+  if (attempt.window != nullptr) RecordPrefillDone(attempt);
   flow->relaying = true;
   flow->relayed_attempt = attempt.id;
   CancelAttempts(*flow, attempt.id);
   actions_->push_back(BeginRelay{flow->id, attempt.id});
-  Arm(*flow);
+  ScheduleWakeUp(*flow);
 }
 
-void ServingCore::On(const AttemptEvents& event) {
+void ServingCore::On(const AttemptEventsReceived& event) {
   Flow* flow = FindFlow(event.flow);
   if (flow == nullptr || flow->relayed_attempt != event.attempt) return;
   flow->last_event_id = event.last_event_id;
-  end_watch_.NoteHeard(flow->attempts.at(event.attempt).engine_id, Time{}, now_);
+  crash_detector_.NoteHeard(flow->attempts.at(event.attempt).engine_id, Time{}, now_);
 }
 
 void ServingCore::On(const AttemptCompleted& event) {
-  unattended_.erase(event.attempt);
+  detached_attempts_.erase(event.attempt);
   Flow* flow = FindFlow(event.flow);
   if (flow == nullptr || !flow->attempts.contains(event.attempt)) return;
   const Attempt attempt = flow->attempts[event.attempt];
   EndAttempt(*flow, event.attempt);
-  end_watch_.NoteHeard(attempt.engine_id, attempt.sent_at, now_);
+  crash_detector_.NoteHeard(attempt.engine_id, attempt.sent_at, now_);
   if (attempt.answer.not_executed) return OnRefusal(*flow, attempt);
   if (attempt.mode == AttemptMode::kPrefill) return FinishPrefill(*flow, attempt, event.handle);
-  FinishRun(*flow, attempt);
+  FinishExecution(*flow, attempt);
 }
 
 void ServingCore::On(const AttemptFailed& event) {
-  if (const auto unattended = unattended_.extract(event.attempt)) {
+  if (const auto unattended = detached_attempts_.extract(event.attempt)) {
     if (event.failure == AttemptFailure::kBroken) {
-      NoteBroken(unattended.mapped().engine_id, unattended.mapped().fingerprint);
+      RecordBrokenResponse(unattended.mapped().engine_id, unattended.mapped().fingerprint);
     }
     return;
   }
@@ -308,43 +310,43 @@
   if (flow == nullptr || !flow->attempts.contains(event.attempt)) return;
   const Attempt attempt = flow->attempts[event.attempt];
   // An answer that was lost had mostly been made; a prompt that is lost had mostly not come to its first token.
-  if (event.failure != AttemptFailure::kNotSent && !flow->language) CountRun(*flow, attempt);
+  if (event.failure != AttemptFailure::kNotSent && !flow->language) CountTenantUsage(*flow, attempt);
   EndAttempt(*flow, event.attempt);
-  if (event.failure == AttemptFailure::kBroken) NoteBroken(attempt.engine_id, flow->fingerprint);
+  if (event.failure == AttemptFailure::kBroken) RecordBrokenResponse(attempt.engine_id, flow->fingerprint);
   const EngineState* engine = engines_.Find(attempt.engine_id);
   const bool unreached = event.failure == AttemptFailure::kNotSent;
   // One that has answered others since only turns connections away.
   const bool alive = unreached && engine != nullptr && engine->last_heard > attempt.sent_at;
   if (alive) {
-    engines_.NoteFull(attempt.engine_id, now_);
+    engines_.RecordRejection(attempt.engine_id, now_);
   } else {
-    LogStanding(engines_.NoteFailure(attempt.engine_id, unreached ? "no connection" : "answer broken", now_));
+    LogEngineStanding(engines_.RecordFailure(attempt.engine_id, unreached ? "no connection" : "answer broken", now_));
   }
-  OnLost(*flow, attempt, event.failure);
+  OnAttemptLost(*flow, attempt, event.failure);
 }
 
-void ServingCore::On(const TimePassed& /*event*/) {
+void ServingCore::On(const TimerFired& /*event*/) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now_) {
     const FlowId id = deadlines_.begin()->second;
     deadlines_.erase(deadlines_.begin());
-    armed_.erase(id);
+    wake_ups_.erase(id);
     Flow* flow = FindFlow(id);
     if (flow == nullptr) continue;
     if (now_ >= flow->ends) {
-      TimeOut(*flow);
+      OnDeadline(*flow);
       continue;
     }
     if (flow->limit_pending) {
-      Arm(*flow);
+      ScheduleWakeUp(*flow);
       continue;
     }
-    CheckPatience(*flow);
+    CheckAttemptTimeouts(*flow);
     flow = FindFlow(id);
     if (flow != nullptr && flow->hedge_at && now_ >= *flow->hedge_at) Hedge(*flow);
     flow = FindFlow(id);
-    if (flow != nullptr && flow->waiting_until) Advance(*flow);
+    if (flow != nullptr && flow->engine_wait_ends) Advance(*flow);
     flow = FindFlow(id);
-    if (flow != nullptr) Arm(*flow);
+    if (flow != nullptr) ScheduleWakeUp(*flow);
   }
 }
 
@@ -354,29 +356,29 @@
 }
 
 // Sets the flow's next wake-up: its end, its hedge, its wait, or a silent engine.
-void ServingCore::Arm(Flow& flow) {
+void ServingCore::ScheduleWakeUp(Flow& flow) {
   constexpr Duration kWaitStep = 20ms;
   Time at = flow.ends;
   if (flow.hedge_at && *flow.hedge_at > now_) at = std::min(at, *flow.hedge_at);
-  if (flow.waiting_until) at = std::min({at, *flow.waiting_until, now_ + kWaitStep});
+  if (flow.engine_wait_ends) at = std::min({at, *flow.engine_wait_ends, now_ + kWaitStep});
   for (const auto& [id, attempt] : flow.attempts) {
-    if (!attempt.silence_noted && !attempt.head_seen) at = std::min(at, attempt.patience_ends);
+    if (!attempt.timeout_handled && !attempt.head_seen) at = std::min(at, attempt.times_out_at);
   }
-  const auto armed = armed_.find(flow.id);
-  if (armed != armed_.end()) deadlines_.erase({armed->second, flow.id});
-  armed_[flow.id] = at;
+  const auto armed = wake_ups_.find(flow.id);
+  if (armed != wake_ups_.end()) deadlines_.erase({armed->second, flow.id});
+  wake_ups_[flow.id] = at;
   deadlines_.insert({at, flow.id});
 }
 
 void ServingCore::Erase(FlowId id) {
-  const auto armed = armed_.find(id);
-  if (armed != armed_.end()) deadlines_.erase({armed->second, id});
-  armed_.erase(id);
+  const auto armed = wake_ups_.find(id);
+  if (armed != wake_ups_.end()) deadlines_.erase({armed->second, id});
+  wake_ups_.erase(id);
   Flow* flow = FindFlow(id);
   if (flow == nullptr) return;
-  Unqueue(*flow);
+  Dequeue(*flow);
   while (!flow->attempts.empty()) EndAttempt(*flow, flow->attempts.begin()->first);
-  if (flow->memory) actions_->push_back(ReleaseMemory{*flow->memory});
+  if (flow->memory) actions_->push_back(ReleaseKvCache{*flow->memory});
   SettleCharge(*flow);
   flows_.erase(id);
 }
--- a/src/core/serving/patience_steps.cc
+++ b/src/core/serving/timeout_steps.cc
@@ -15,7 +15,7 @@
 void ServingCore::Hedge(Flow& flow) {
   flow.hedge_at.reset();
   const bool silent = flow.attempts.size() == 1 && !flow.attempts.begin()->second.head_seen;
-  if (!silent || !MayRunAgain(flow)) return;
+  if (!silent || !MayExecuteAgain(flow)) return;
   flow.tried.insert(flow.attempts.begin()->second.engine_id);
   flow.unanswered = true;
   Retry(flow, "no answer in most of the objective");
@@ -23,27 +23,27 @@
 
 // A reading may be awaited for some times what it should take; work that may
 // run once, for as long as the request has.
-Duration ServingCore::PatienceFor(const Attempt& attempt, const EngineState& engine) const {
-  if (attempt.mode != AttemptMode::kPrefill) return knobs_.silence;
+Duration ServingCore::AttemptTimeout(const Attempt& attempt, const EngineState& engine) const {
+  if (attempt.mode != AttemptMode::kPrefill) return parameters_.silence;
   constexpr double kMillisecond = 0.001;
   // This prompt's tokens are among the outstanding ones.
   const auto tokens = static_cast<double>(engine.outstanding_prompt_tokens + engine.peers_prompt_tokens);
   const Duration expected = FromSeconds(kMillisecond * tokens / selector_.reading().rate());
-  return knobs_.silence + FromSeconds(knobs_.prefill_patience * ToSeconds(expected));
+  return parameters_.silence + FromSeconds(parameters_.prefill_timeout_factor * ToSeconds(expected));
 }
 
 // An engine that has said nothing to anybody since our request is taken out.
 // What is only read, or may run again, goes elsewhere; other work stays there.
-void ServingCore::CheckPatience(Flow& flow) {
+void ServingCore::CheckAttemptTimeouts(Flow& flow) {
   for (auto& [id, attempt] : flow.attempts) {
-    if (attempt.silence_noted || attempt.head_seen || now_ < attempt.patience_ends) continue;
-    attempt.silence_noted = true;
-    const bool silent = IsSilentSince(attempt);
+    if (attempt.timeout_handled || attempt.head_seen || now_ < attempt.times_out_at) continue;
+    attempt.timeout_handled = true;
+    const bool silent = EngineSilentSince(attempt);
     if (silent) {
-      DropConnectionsOf(attempt);
-      LogStanding(engines_.NoteFailure(attempt.engine_id, "silent", now_));
+      DropIdleConnectionsTo(attempt);
+      LogEngineStanding(engines_.RecordFailure(attempt.engine_id, "silent", now_));
     }
-    if (!GivesUpOn(flow, attempt, silent)) continue;
+    if (!ShouldAbandon(flow, attempt, silent)) continue;
     flow.tried.insert(attempt.engine_id);
     flow.unanswered = true;
     actions_->push_back(CancelAttempt{id});
@@ -52,34 +52,34 @@
   }
 }
 
-bool ServingCore::IsSilentSince(const Attempt& attempt) {
+bool ServingCore::EngineSilentSince(const Attempt& attempt) {
   const EngineState* engine = engines_.Find(attempt.engine_id);
   return engine == nullptr || engine->last_heard < attempt.sent_at;
 }
 
-void ServingCore::DropConnectionsOf(const Attempt& attempt) {
+void ServingCore::DropIdleConnectionsTo(const Attempt& attempt) {
   const EngineState* engine = engines_.Find(attempt.engine_id);
-  if (engine != nullptr) actions_->push_back(DropRestingConnections{attempt.engine_id, engine->record.address});
+  if (engine != nullptr) actions_->push_back(DropIdleConnections{attempt.engine_id, engine->record.address});
 }
 
-bool ServingCore::GivesUpOn(const Flow& flow, const Attempt& attempt, bool silent) {
-  if (flow.tries >= knobs_.most_tries) return false;
+bool ServingCore::ShouldAbandon(const Flow& flow, const Attempt& attempt, bool silent) {
+  if (flow.tries >= parameters_.max_tries) return false;
   // A prompt that was only read may go whole to an engine that answers: its first arrival, which needs no allowance.
   if (attempt.mode == AttemptMode::kPrefill && flow.arrivals == 0) return true;
-  if (allowance_.Left(flow.service, now_) < 1) return false;
+  if (retry_budget_share_.Left(flow.service, now_) < 1) return false;
   if (attempt.mode == AttemptMode::kPrefill) return true;
-  return silent && flow.route.kind == RouteKind::kStreaming && MayRunAgain(flow);
+  return silent && flow.route.kind == RouteKind::kStreaming && MayExecuteAgain(flow);
 }
 
-void ServingCore::TimeOut(Flow& flow) {
+void ServingCore::OnDeadline(Flow& flow) {
   if (flow.relaying) {
     CancelAttempts(flow, 0);
-    return BreakOffFlow(flow, "time is up");
+    return AbortFlow(flow, "time is up");
   }
   const bool may_have_run = flow.runs > 0;
-  CountUnanswered(flow);
+  CountUnansweredUsage(flow);
   for (const auto& [id, attempt] : flow.attempts) {
-    if (IsSilentSince(attempt)) DropConnectionsOf(attempt);
+    if (EngineSilentSince(attempt)) DropIdleConnectionsTo(attempt);
   }
   CancelAttempts(flow, 0);
   if (may_have_run) return Fail(flow, kGatewayTimeout, "time is up; it may have run");
@@ -87,24 +87,24 @@
 }
 
 // What waits at an engine that is taken to be lost is looked into at once.
-void ServingCore::HurryAttempts(const std::string& engine_id) {
+void ServingCore::ExpireAttemptsAt(const std::string& engine_id) {
   for (auto& [id, flow] : flows_) {
     bool concerned = false;
     for (auto& [attempt_id, attempt] : flow->attempts) {
-      if (attempt.engine_id != engine_id || attempt.head_seen || attempt.silence_noted) continue;
-      attempt.patience_ends = std::min(attempt.patience_ends, now_);
+      if (attempt.engine_id != engine_id || attempt.head_seen || attempt.timeout_handled) continue;
+      attempt.times_out_at = std::min(attempt.times_out_at, now_);
       concerned = true;
     }
-    if (concerned) Arm(*flow);
+    if (concerned) ScheduleWakeUp(*flow);
   }
 }
 
-void ServingCore::LogStanding(const std::optional<StandingChange>& change) {
+void ServingCore::LogEngineStanding(const std::optional<HealthChange>& change) {
   if (!change) return;
   Log(EventId::kEngineEjected, nullptr,
       fmt::format(R"("engine":"{}","cause":"{}","for_ms":{})", change->engine, change->cause,
                   change->span.count() / 1000));
-  if (change->lost) HurryAttempts(change->engine);
+  if (change->lost) ExpireAttemptsAt(change->engine);
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/topology.cc
+++ b/src/core/serving/topology.cc
@@ -7,8 +7,8 @@
 namespace saltquay::serving {
 
 Topology::Topology(std::string own_zone, std::map<std::string, std::string, std::less<>> regions,
-                   const TopologyKnobs& knobs)
-    : own_zone_(std::move(own_zone)), regions_(std::move(regions)), knobs_(knobs) {
+                   const TopologyParameters& parameters)
+    : own_zone_(std::move(own_zone)), regions_(std::move(regions)), parameters_(parameters) {
   std::set<std::string_view> distinct;
   for (const auto& [zone, region] : regions_) distinct.insert(region);
   has_regions_ = distinct.size() > 1;
@@ -22,8 +22,8 @@
 }
 
 Duration Topology::Guess(std::string_view first, std::string_view second) const {
-  if (first == second) return knobs_.in_zone;
-  return SameRegion(first, second) ? knobs_.in_region : knobs_.between_regions;
+  if (first == second) return parameters_.in_zone;
+  return SameRegion(first, second) ? parameters_.in_region : parameters_.between_regions;
 }
 
 Duration Topology::Distance(std::string_view first, std::string_view second) const {
@@ -34,7 +34,7 @@
 }
 
 // The least of late: a way is as long as it is without queues, and a machine that is busy answers late.
-void Topology::NoteRoundTrip(std::string_view zone, Duration round_trip) {
+void Topology::RecordRoundTrip(std::string_view zone, Duration round_trip) {
   constexpr double kForget = 0.01;  // A way that has become longer is believed after some hundred round trips.
   const Duration one_way = round_trip / 2;
   const auto [entry, first] = measured_.try_emplace(std::string(zone), one_way);
--- a/src/core/serving/topology.h
+++ b/src/core/serving/topology.h
@@ -16,7 +16,7 @@
 
 // One way, before anything was measured. Machines of one zone share a building, zones of one region a city; regions are
 // some hundred kilometres and several networks apart.
-struct TopologyKnobs {
+struct TopologyParameters {
   Duration in_zone = 100us;
   Duration in_region = 1ms;
   Duration between_regions = 20ms;
@@ -26,7 +26,8 @@
  public:
   // `regions`: of each zone, by its name. A zone that is not named there is a region of its own; where no zone is
   // named, all are of one region.
-  Topology(std::string own_zone, std::map<std::string, std::string, std::less<>> regions, const TopologyKnobs& knobs);
+  Topology(std::string own_zone, std::map<std::string, std::string, std::less<>> regions,
+           const TopologyParameters& parameters);
 
   const std::string& own_zone() const { return own_zone_; }
   std::string_view RegionOf(std::string_view zone) const;
@@ -34,20 +35,20 @@
   bool IsOwnRegion(std::string_view zone) const { return RegionOf(zone) == OwnRegion(); }
   bool SameRegion(std::string_view first, std::string_view second) const { return RegionOf(first) == RegionOf(second); }
   // Whether the fleet lies in more than one region.
-  bool HasRegions() const { return has_regions_; }
+  bool HasMultipleRegions() const { return has_regions_; }
 
   // One way between machines of the two zones.
   Duration Distance(std::string_view first, std::string_view second) const;
   Duration DistanceTo(std::string_view zone) const { return Distance(own_zone_, zone); }
   // A connection to a machine of `zone` came up after one round trip of that time.
-  void NoteRoundTrip(std::string_view zone, Duration round_trip);
+  void RecordRoundTrip(std::string_view zone, Duration round_trip);
 
  private:
   Duration Guess(std::string_view first, std::string_view second) const;
 
   std::string own_zone_;
   std::map<std::string, std::string, std::less<>> regions_;
-  TopologyKnobs knobs_;
+  TopologyParameters parameters_;
   bool has_regions_ = false;
   std::map<std::string, Duration, std::less<>> measured_;  // From the own zone, one way.
 };
--- a/src/duties/capacity_controller.cc
+++ b/src/duties/capacity_controller.cc
@@ -42,19 +42,19 @@
 
 }
 
-void CapacityController::step(Time now, bool holds, std::int64_t tenure, serving::ServingConfig const& config,
+void CapacityController::step(Time now, bool holds, std::int64_t lease_token, serving::ServingConfig const& config,
     std::map<std::string, serving::ServiceDemand> const& demand, serving::EngineDirectory const& engines,
     std::vector<CapacityAction>& actions)
 {
     if (!holds || now < next_step_)
         return;
-    if (tenure != tenure_) {
+    if (lease_token != tenure_) {
         orders_.clear();
         services_.clear();
     }
-    tenure_ = tenure;
-    next_step_ = now + knobs_.interval;
-    orders_left_ = knobs_.most_orders;
+    tenure_ = lease_token;
+    next_step_ = now + parameters_.interval;
+    orders_left_ = parameters_.max_orders_per_interval;
     for (auto const& service : config.services) {
         if (!service.scaling || service.scaling->zone_prices.empty())
             continue;
@@ -77,41 +77,41 @@
     if (seen != state.seen)
         state.seen_since = now;
     state.seen = seen;
-    auto const factor = idle ? knobs_.planner.cold_factor : 1.0;
+    auto const factor = idle ? parameters_.planner.cold_start_factor : 1.0;
     state.wanted = std::max(state.wanted, static_cast<int>(std::ceil(factor * seen)));
     state.low_since = now;
-    state.settled =
-        now - state.seen_since >= knobs_.rest || now - state.first_seen >= knobs_.longest_rests * knobs_.rest;
+    state.settled = now - state.seen_since >= parameters_.rest
+        || now - state.first_seen >= parameters_.max_settle_periods * parameters_.rest;
 }
 
 int CapacityController::update_wanted(
     Time now, serving::Service const& service, serving::ServiceDemand const& asked, EnginesByZone const& present)
 {
     auto& state = services_[service.name];
-    auto const needed = engines_wanted(knobs_.planner, asked, *service.scaling, present.size());
+    auto const needed = target_engine_count(parameters_.planner, asked, *service.scaling, present.size());
     settle(now, state, present, is_idle(asked));
-    if (needed > knobs_.planner.shrink_below * state.wanted) {
+    if (needed > parameters_.planner.scale_in_threshold * state.wanted) {
         state.low_since = now;
         state.peak = 0;
     } else {
         state.peak = std::max(state.peak, static_cast<double>(needed));
     }
     auto const most = service.scaling->max * static_cast<int>(service.scaling->zone_prices.size());
-    if (needed > knobs_.growth_step * state.wanted)
+    if (needed > parameters_.scale_out_threshold * state.wanted)
         state.wanted = needed;
     state.wanted = std::min(state.wanted, most);
-    if (now - state.low_since >= knobs_.planner.shrink_after) {
+    if (now - state.low_since >= parameters_.planner.scale_in_delay) {
         // Little by little: what the engines keep would have to be read again by the others at once.
-        auto const step = std::max(1, static_cast<int>(knobs_.planner.exchange_share * state.wanted));
+        auto const step = std::max(1, static_cast<int>(parameters_.planner.max_replacement_share * state.wanted));
         state.wanted = std::max({ 1, static_cast<int>(state.peak), state.wanted - step });
-        state.low_since += knobs_.planner.shrink_pause;
+        state.low_since += parameters_.planner.scale_in_interval;
     }
     return needed;
 }
 
 bool CapacityController::is_idle(serving::ServiceDemand const& asked) const
 {
-    return asked.prefill_engines + asked.decode_engines < knobs_.planner.idle_demand;
+    return asked.prefill_engines + asked.decode_engines < parameters_.planner.idle_demand;
 }
 
 void CapacityController::plan(Time now, serving::Service const& service, serving::ServiceDemand const& asked,
@@ -119,11 +119,11 @@
 {
     auto const needed = update_wanted(now, service, asked, present);
     auto& state = services_[service.name];
-    auto const target = share_out(knobs_.planner, *service.scaling, state.wanted);
+    auto const target = distribute_over_zones(parameters_.planner, *service.scaling, state.wanted);
     auto const idle = is_idle(asked);
     auto const missing = missing_without_spot(service, asked, present);
     if (now >= state.next_log) {
-        state.next_log = now + knobs_.log_interval;
+        state.next_log = now + parameters_.log_interval;
         actions.push_back(LogCapacity { EventId::kCapacityPlan,
             fmt::format(
                 R"("service":"{}","engines":{},"wanted":{},"needed":{},"prefill_demand":{:.1f},"decode_demand":{:.1f})",
@@ -131,7 +131,7 @@
     }
     auto const may_exchange = state.settled && (idle || now >= state.next_exchange);
     if (may_exchange)
-        state.next_exchange = now + knobs_.planner.exchange_pause;
+        state.next_exchange = now + parameters_.planner.replacement_interval;
     // As many as there were, or as many as the demand wants.
     auto const zones = static_cast<int>(target.size());
     auto const least = (std::max(usual_engines(state), needed) + zones - 1) / zones;
@@ -166,7 +166,7 @@
         // Only what others serve for may go, and under load little at a time. Where the limit leaves no room to order
         // the others first, they come after.
         auto const spare = std::max(0, plan.present.all() - std::min(plan.target.all(), plan.least));
-        auto const step = std::max(1, static_cast<int>(knobs_.planner.exchange_share * plan.present.all()));
+        auto const step = std::max(1, static_cast<int>(parameters_.planner.max_replacement_share * plan.present.all()));
         auto const leaving = std::min(spare, plan.idle ? spare : step);
         ordinary = std::max(ordinary, plan.present.ordinary - leaving);
     }
@@ -177,7 +177,7 @@
 // already, perhaps for a cold start.
 int CapacityController::usual_engines(ServiceState const& state) const
 {
-    auto const factor = state.first_spot > 0 ? knobs_.planner.cold_factor : 1.0;
+    auto const factor = state.first_spot > 0 ? parameters_.planner.cold_start_factor : 1.0;
     return static_cast<int>(std::ceil(state.seen / factor));
 }
 
@@ -192,7 +192,7 @@
     if (zones == 0)
         return 0;
     auto const& state = services_[service.name];
-    auto const needed = engines_needed_now(knobs_.planner, asked);
+    auto const needed = minimum_engine_count(parameters_.planner, asked);
     auto const left = std::max(1, total(present)) / static_cast<double>(std::max(1, state.wanted));
     auto const with_rereading = std::min(static_cast<int>(needed / left), usual_engines(state));
     return (std::max(0, std::max(needed, with_rereading) - total(present)) + zones - 1) / zones;
@@ -205,7 +205,7 @@
 }
 
 void CapacityController::order(
-    Time now, EngineOrder const& order, ZonePlan const& plan, std::vector<CapacityAction>& actions)
+    Time now, ScalingOrder const& order, ZonePlan const& plan, std::vector<CapacityAction>& actions)
 {
     auto const present = order.spot ? plan.present.spot : plan.present.ordinary;
     OrderKey const key { order.service, order.zone, order.spot };
@@ -216,7 +216,8 @@
         entry = orders_.emplace(key, Order { present, Time {}, false, Time {}, false }).first;
     }
     auto& last = entry->second;
-    auto const same = order.engines == last.engines && now < last.at + plan.service.scaling->boot + knobs_.order_slack;
+    auto const same =
+        order.engines == last.engines && now < last.at + plan.service.scaling->boot + parameters_.order_retry_margin;
     auto const satisfied = order.engines == last.engines && order.engines == present;
     if (satisfied)
         last.unavailable = false; // They came after all.
@@ -229,7 +230,7 @@
     actions.push_back(order);
 }
 
-void CapacityController::on_ordered(Time now, EngineOrder const& order, DutyOutcome outcome)
+void CapacityController::on_order_completed(Time now, ScalingOrder const& order, DutyOutcome outcome)
 {
     auto const entry = orders_.find(OrderKey { order.service, order.zone, order.spot });
     if (entry == orders_.end())
@@ -240,7 +241,8 @@
     if (outcome == DutyOutcome::Done)
         return;
     last.at = Time {}; // It is still to be ordered.
-    last.not_before = now + (outcome == DutyOutcome::Refused ? knobs_.unavailable_pause : knobs_.unknown_pause);
+    last.not_before =
+        now + (outcome == DutyOutcome::Refused ? parameters_.spot_retry_delay : parameters_.unknown_retry_delay);
 }
 
 }
--- a/src/duties/capacity_planner.cc
+++ b/src/duties/capacity_planner.cc
@@ -16,21 +16,22 @@
 
 }
 
-int engines_wanted(CapacityKnobs const& knobs, serving::ServiceDemand const& demand,
+int target_engine_count(CapacityPlannerParameters const& parameters, serving::ServiceDemand const& demand,
     serving::ScalingTraits const& scaling, std::size_t zones)
 {
     constexpr double least_left = 0.1;
     auto const zone_share = scaling.spot_price && zones > 1 ? 1.0 / static_cast<double>(zones) : 0.0;
-    auto const left = std::max(least_left, 1 - zone_share - knobs.failing_share);
-    return static_cast<int>(std::ceil(knobs.headroom * engines_busy(demand) / left));
+    auto const left = std::max(least_left, 1 - zone_share - parameters.failure_allowance);
+    return static_cast<int>(std::ceil(parameters.headroom * engines_busy(demand) / left));
 }
 
-int engines_needed_now(CapacityKnobs const& knobs, serving::ServiceDemand const& demand)
+int minimum_engine_count(CapacityPlannerParameters const& parameters, serving::ServiceDemand const& demand)
 {
-    return static_cast<int>(std::ceil(knobs.headroom * engines_busy(demand) / (1 - knobs.failing_share)));
+    return static_cast<int>(std::ceil(parameters.headroom * engines_busy(demand) / (1 - parameters.failure_allowance)));
 }
 
-EnginesByZone share_out(CapacityKnobs const& knobs, serving::ScalingTraits const& scaling, int engines)
+EnginesByZone distribute_over_zones(
+    CapacityPlannerParameters const& parameters, serving::ScalingTraits const& scaling, int engines)
 {
     std::vector<std::pair<double, std::string>> zones;
     for (auto const& [zone, price] : scaling.zone_prices)
@@ -42,7 +43,8 @@
         auto const others = static_cast<int>(zones.size() - i);
         auto const share = std::clamp((left + others - 1) / others, scaling.min, scaling.max);
         left = std::max(0, left - share);
-        auto const ordinary = scaling.spot_price ? static_cast<int>(std::ceil(knobs.ordinary_share * share)) : share;
+        auto const ordinary =
+            scaling.spot_price ? static_cast<int>(std::ceil(parameters.on_demand_share * share)) : share;
         shares[zones[i].second] = { ordinary, share - ordinary };
     }
     return shares;
--- a/src/duties/fleet_clock.cc
+++ b/src/duties/fleet_clock.cc
@@ -17,13 +17,13 @@
 
 }
 
-void FleetClock::note_own(Time now, WallTime wall)
+void FleetClock::record_own_clock(Time now, WallTime wall)
 {
     own_offset_ = offset_of(now, wall);
     std::erase_if(peers_, [&](auto const& entry) { return now - entry.second.at > sample_memory; });
 }
 
-void FleetClock::note_peer(std::string_view node, Time now, WallTime wall)
+void FleetClock::record_peer_clock(std::string_view node, Time now, WallTime wall)
 {
     auto entry = peers_.find(node);
     if (entry == peers_.end())
@@ -48,6 +48,6 @@
     return WallTime(std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()) + median_offset(now));
 }
 
-std::chrono::milliseconds FleetClock::own_error(Time now) const { return own_offset_ - median_offset(now); }
+std::chrono::milliseconds FleetClock::own_clock_error(Time now) const { return own_offset_ - median_offset(now); }
 
 }
--- a/src/duties/usage_table.cc
+++ b/src/duties/usage_aggregator.cc
@@ -1,10 +1,10 @@
-#include "saltquay/duties/usage_table.h"
+#include "saltquay/duties/usage_aggregator.h"
 
 #include <algorithm>
 
 namespace saltquay::duties {
 
-void UsageTable::note(serving::PeerReport const& report, Time now)
+void UsageAggregator::note(serving::PeerReport const& report, Time now)
 {
     if (report.node.empty())
         return;
@@ -17,7 +17,7 @@
     }
 }
 
-TenantCounts UsageTable::counts(std::int64_t window) const
+TenantCounts UsageAggregator::counts(std::int64_t window) const
 {
     TenantCounts sums;
     for (auto const& [life, contribution] : lives_) {
@@ -31,41 +31,42 @@
 }
 
 // A later life of the same node was heard.
-bool UsageTable::is_over(Life const& life) const
+bool UsageAggregator::is_over(Life const& life) const
 {
     auto const next = std::next(lives_.find(life));
     return next != lives_.end() && next->first.first == life.first;
 }
 
-bool UsageTable::is_complete(std::int64_t window, Time now) const
+bool UsageAggregator::is_complete(std::int64_t window, Time now) const
 {
-    if (now < began_ + knobs_.first_round)
+    if (now < began_ + parameters_.collection_period)
         return false;
     return std::all_of(lives_.begin(), lives_.end(), [&](auto const& entry) {
         auto const& [life, contribution] = entry;
-        return contribution.closed_through >= window || now - contribution.heard > knobs_.silence || is_over(life);
+        return contribution.closed_through >= window || now - contribution.heard > parameters_.silence || is_over(life);
     });
 }
 
-bool UsageTable::reaches_back_to(WallTime at) const
+bool UsageAggregator::covers_time(WallTime at) const
 {
     auto const milliseconds = static_cast<std::uint64_t>(at.time_since_epoch().count());
     return std::any_of(
         lives_.begin(), lives_.end(), [&](auto const& entry) { return entry.first.second <= milliseconds; });
 }
 
-void UsageTable::forget(Time now, std::int64_t before_window)
+void UsageAggregator::forget(Time now, std::int64_t before_window)
 {
     for (auto& [life, contribution] : lives_)
         std::erase_if(contribution.counts, [&](auto const& entry) { return entry.first < before_window; });
-    std::erase_if(lives_, [&](auto const& entry) { return now - entry.second.heard > knobs_.memory; });
+    std::erase_if(lives_, [&](auto const& entry) { return now - entry.second.heard > parameters_.memory; });
 }
 
-std::vector<serving::PeerReport> UsageTable::contributions(std::string const& except_node, std::size_t most) const
+std::vector<serving::PeerReport> UsageAggregator::contributions(
+    std::string const& excluded_node, std::size_t most) const
 {
     std::vector<serving::PeerReport> reports;
     for (auto const& [life, contribution] : lives_) {
-        if (life.first == except_node)
+        if (life.first == excluded_node)
             continue;
         serving::PeerReport report;
         report.scope = serving::ReportScope::kUsage;
--- a/src/duties/usage_counter.cc
+++ b/src/duties/usage_counter.cc
@@ -12,7 +12,7 @@
     entry->second.changed = now;
 }
 
-std::vector<UsageCount> UsageCounter::changed_since(Time since) const
+std::vector<UsageCount> UsageCounter::counts_changed_since(Time since) const
 {
     std::vector<UsageCount> changed;
     for (auto const& [window, counts] : counts_) {
--- a/src/duties/usage_reporter.cc
+++ b/src/duties/usage_reporter.cc
@@ -16,20 +16,20 @@
 
 }
 
-void UsageReporter::step(Time now, WallTime wall, bool holds, std::int64_t tenure, std::int64_t first_window,
-    UsageTable const& table, UsageActions& actions)
+void UsageReporter::step(Time now, WallTime wall, bool holds, std::int64_t lease_token, std::int64_t initial_window,
+    UsageAggregator const& table, UsageActions& actions)
 {
     if (!holds)
         return;
-    if (tenure != tenure_)
+    if (lease_token != tenure_)
         lose();
-    tenure_ = tenure;
+    tenure_ = lease_token;
     if (call_ == Call::None && now >= next_call_) {
         if (!sealed_) {
             call_ = Call::Read;
             actions.push_back(ReadSealedUsage {});
         } else {
-            seal(now, wall, first_window, table, actions);
+            seal(now, wall, initial_window, table, actions);
         }
     }
     if (sealed_)
@@ -44,29 +44,29 @@
     sendings_.clear();
 }
 
-std::int64_t UsageReporter::next_window(std::int64_t first_window) const
+std::int64_t UsageReporter::next_window(std::int64_t initial_window) const
 {
-    auto const newest = sealed_->reports.empty() ? first_window - 1 : sealed_->reports.back().window;
+    auto const newest = sealed_->reports.empty() ? initial_window - 1 : sealed_->reports.back().window;
     return std::max(newest, passed_over_) + 1;
 }
 
 void UsageReporter::seal(
-    Time now, WallTime wall, std::int64_t first_window, UsageTable const& table, UsageActions& actions)
+    Time now, WallTime wall, std::int64_t initial_window, UsageAggregator const& table, UsageActions& actions)
 {
-    auto const window = next_window(first_window);
+    auto const window = next_window(initial_window);
     auto const ended = windows_.end_of(window);
-    if (wall < ended + knobs_.settling)
+    if (wall < ended + parameters_.settling)
         return;
     auto const complete = table.is_complete(window, now);
-    if (!complete && wall < ended + knobs_.patience)
+    if (!complete && wall < ended + parameters_.patience)
         return;
-    auto const is_the_systems_first = sealed_->reports.empty() && window == first_window;
-    if (!is_the_systems_first && !table.reaches_back_to(windows_.start_of(window)))
+    auto const is_the_systems_first = sealed_->reports.empty() && window == initial_window;
+    if (!is_the_systems_first && !table.covers_time(windows_.start_of(window)))
         return pass_over(window, wall, table, actions);
     UsageReport const report { window, table.counts(window) };
     draft_ = *sealed_;
     draft_->reports.push_back(report);
-    while (draft_->reports.size() > knobs_.kept_reports)
+    while (draft_->reports.size() > parameters_.retained_reports)
         draft_->reports.erase(draft_->reports.begin());
     call_ = Call::Write;
     actions.emplace_back().emplace<WriteSealedUsage>(*draft_);
@@ -75,10 +75,10 @@
 }
 
 // Nodes that counted then are gone, all of them: a report would be made up. After a long outage these are many.
-void UsageReporter::pass_over(std::int64_t first, WallTime wall, UsageTable const& table, UsageActions& actions)
+void UsageReporter::pass_over(std::int64_t first, WallTime wall, UsageAggregator const& table, UsageActions& actions)
 {
     passed_over_ = first;
-    while (windows_.end_of(passed_over_ + 1) <= wall && !table.reaches_back_to(windows_.start_of(passed_over_ + 1)))
+    while (windows_.end_of(passed_over_ + 1) <= wall && !table.covers_time(windows_.start_of(passed_over_ + 1)))
         ++passed_over_;
     auto const cause = "no node that ran then is left, through window " + std::to_string(passed_over_);
     actions.push_back(LogUsage { EventId::kUsageNotReported, first, cause, 0, 0, false });
@@ -87,7 +87,7 @@
 void UsageReporter::send(Time now, WallTime wall, UsageActions& actions)
 {
     for (auto const& report : sealed_->reports) {
-        if (wall > windows_.end_of(report.window) + knobs_.sent_for)
+        if (wall > windows_.end_of(report.window) + parameters_.send_period)
             continue;
         auto& sending = sendings_[report.window];
         if (sending.taken || sending.under_way || now < sending.next)
@@ -132,7 +132,7 @@
 
 void UsageReporter::back_off(Time now)
 {
-    pause_ = std::clamp(pause_ * 2, knobs_.first_pause, knobs_.longest_pause);
+    pause_ = std::clamp(pause_ * 2, parameters_.first_pause, parameters_.longest_pause);
     next_call_ = now + pause_;
 }
 
@@ -144,18 +144,18 @@
     auto& sending = entry->second;
     sending.under_way = false;
     sending.taken = outcome == DutyOutcome::Done;
-    sending.pause = std::clamp(sending.pause * 2, knobs_.first_pause, knobs_.longest_pause);
+    sending.pause = std::clamp(sending.pause * 2, parameters_.first_pause, parameters_.longest_pause);
     sending.next = now + sending.pause;
 }
 
-std::optional<std::int64_t> UsageReporter::sealed_through() const
+std::optional<std::int64_t> UsageReporter::last_sealed_window() const
 {
     if (!sealed_ || sealed_->reports.empty())
         return std::nullopt;
     return sealed_->reports.back().window;
 }
 
-std::size_t UsageReporter::unsent() const
+std::size_t UsageReporter::unacknowledged_reports() const
 {
     if (!sealed_)
         return 0;
--- a/src/gateway/collection_watcher.cc
+++ b/src/gateway/collection_watcher.cc
@@ -7,7 +7,7 @@
 namespace saltquay::gateway {
 
 CollectionWatcher::CollectionWatcher(boost::asio::io_context& loop, ObjectStore& store, std::string kind,
-                                     const WatcherTimes& times, std::uint64_t seed, WatcherHandlers handlers)
+                                     const WatcherTimings& times, std::uint64_t seed, WatcherHandlers handlers)
     : store_(store),
       kind_(std::move(kind)),
       times_(times),
@@ -24,7 +24,7 @@
     listed_ = true;
     backoff_ = times_.first_backoff;
     handlers_.on_list(*list);
-    SetContact(true, "listed");
+    SetConnected(true, "listed");
     Watch();
   });
 }
@@ -37,7 +37,7 @@
                  revision_ = events->at;
                  backoff_ = times_.first_backoff;
                  for (const ObjectEvent& event : events->events) handlers_.on_event(event);
-                 SetContact(true, "watched");
+                 SetConnected(true, "watched");
                  if (events->events.empty()) return Watch();
                  WatchAfter(times_.gather);
                });
@@ -51,7 +51,7 @@
 }
 
 void CollectionWatcher::OnError(const absl::Status& status) {
-  SetContact(false, MessageOf(status));
+  SetConnected(false, MessageOf(status));
   if (status.code() == absl::StatusCode::kOutOfRange) return List();
   const auto jitter = std::chrono::milliseconds(random_.Below(static_cast<std::uint64_t>(backoff_.count()) + 1));
   timer_.expires_after(backoff_ / 2 + jitter);
@@ -66,10 +66,10 @@
   });
 }
 
-void CollectionWatcher::SetContact(bool in_contact, const std::string& cause) {
+void CollectionWatcher::SetConnected(bool in_contact, const std::string& cause) {
   if (in_contact_ == in_contact) return;
   in_contact_ = in_contact;
-  handlers_.on_contact(in_contact, cause);
+  handlers_.on_connectivity_changed(in_contact, cause);
 }
 
 }  // namespace saltquay::gateway
--- a/src/gateway/collection_watcher.h
+++ b/src/gateway/collection_watcher.h
@@ -25,10 +25,10 @@
   std::function<void(const ObjectList&)> on_list;
   std::function<void(const ObjectEvent&)> on_event;
   // Whether the store is heard; the cause where it is not.
-  std::function<void(bool, const std::string&)> on_contact;
+  std::function<void(bool, const std::string&)> on_connectivity_changed;
 };
 
-struct WatcherTimes {
+struct WatcherTimings {
   std::chrono::milliseconds watch{4000};
   std::chrono::milliseconds gather{
       100};  // After changes, before the next watch: what comes in a row comes in one answer.
@@ -38,7 +38,7 @@
 
 class CollectionWatcher {
  public:
-  CollectionWatcher(boost::asio::io_context& loop, ObjectStore& store, std::string kind, const WatcherTimes& times,
+  CollectionWatcher(boost::asio::io_context& loop, ObjectStore& store, std::string kind, const WatcherTimings& times,
                     std::uint64_t seed, WatcherHandlers handlers);
 
   void Start() { List(); }
@@ -49,11 +49,11 @@
   void Watch();
   void WatchAfter(std::chrono::milliseconds pause);
   void OnError(const absl::Status& status);
-  void SetContact(bool in_contact, const std::string& cause);
+  void SetConnected(bool in_contact, const std::string& cause);
 
   ObjectStore& store_;
   std::string kind_;
-  WatcherTimes times_;
+  WatcherTimings times_;
   WatcherHandlers handlers_;
   Random random_;
   BootTimer timer_;
--- a/src/gateway/duty_api.h
+++ b/src/gateway/duty_api.h
@@ -25,7 +25,7 @@
   virtual ~DutyApi() = default;
 
   virtual void ReportUsage(const DutyHolder& holder, const duties::UsageReport& report, Done done) = 0;
-  virtual void OrderEngines(const DutyHolder& holder, const duties::EngineOrder& order, Done done) = 0;
+  virtual void OrderEngines(const DutyHolder& holder, const duties::ScalingOrder& order, Done done) = 0;
 };
 
 }  // namespace saltquay::gateway
--- a/src/gateway/engine_probe.cc
+++ b/src/gateway/engine_probe.cc
@@ -7,16 +7,16 @@
 namespace saltquay::gateway {
 namespace {
 
-using serving::EngineCheckOutcome;
+using serving::EngineProbeOutcome;
 
 // Far longer than a reset takes to come back within a region; a machine that says nothing for so long is cut off or
 // dark.
-constexpr std::chrono::milliseconds kPatience{300};
+constexpr std::chrono::milliseconds kProbeTimeout{300};
 
-EngineCheckOutcome ToOutcome(const boost::system::error_code& error) {
-  if (!error) return EngineCheckOutcome::kAccepted;
+EngineProbeOutcome ToOutcome(const boost::system::error_code& error) {
+  if (!error) return EngineProbeOutcome::kAccepted;
   const bool refused = error == boost::asio::error::connection_refused || error == boost::asio::error::connection_reset;
-  return refused ? EngineCheckOutcome::kRefused : EngineCheckOutcome::kUnknown;
+  return refused ? EngineProbeOutcome::kRefused : EngineProbeOutcome::kUnknown;
 }
 
 }  // namespace
@@ -37,22 +37,22 @@
   const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(address);
   if (!endpoint.ok()) {
     boost::asio::post(loop_, [this, id, alive = std::weak_ptr<Probe>(probe)] {
-      if (!alive.expired()) End(id, EngineCheckOutcome::kUnknown);
+      if (!alive.expired()) End(id, EngineProbeOutcome::kUnknown);
     });
     return;
   }
   // A probe that is gone has closed its socket and timer: their handlers then hold none.
   const std::weak_ptr<Probe> alive = probe;
-  probe->timer.expires_after(kPatience);
+  probe->timer.expires_after(kProbeTimeout);
   probe->timer.async_wait([this, id, alive](boost::system::error_code error) {
-    if (!error && !alive.expired()) End(id, EngineCheckOutcome::kUnknown);
+    if (!error && !alive.expired()) End(id, EngineProbeOutcome::kUnknown);
   });
   probe->socket.async_connect(*endpoint, [this, id, alive](boost::system::error_code error) {
     if (!alive.expired()) End(id, ToOutcome(error));
   });
 }
 
-void EngineProbe::End(std::uint64_t id, EngineCheckOutcome outcome) {
+void EngineProbe::End(std::uint64_t id, EngineProbeOutcome outcome) {
   const auto entry = probes_.find(id);
   if (entry == probes_.end()) return;
   const Handler done = std::move(entry->second->done);
--- a/src/gateway/engine_probe.h
+++ b/src/gateway/engine_probe.h
@@ -11,14 +11,14 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 
-#include "src/core/serving/engine_end_watch.h"
+#include "src/core/serving/engine_crash_detector.h"
 #include "src/http/boot_timer.h"
 
 namespace saltquay::gateway {
 
 class EngineProbe {
  public:
-  using Handler = std::function<void(serving::EngineCheckOutcome)>;
+  using Handler = std::function<void(serving::EngineProbeOutcome)>;
 
   explicit EngineProbe(boost::asio::io_context& loop) : loop_(loop) {}
 
@@ -28,7 +28,7 @@
  private:
   struct Probe;
 
-  void End(std::uint64_t id, serving::EngineCheckOutcome outcome);
+  void End(std::uint64_t id, serving::EngineProbeOutcome outcome);
 
   boost::asio::io_context& loop_;
   std::map<std::uint64_t, std::shared_ptr<Probe>> probes_;
--- a/src/gateway/engine_protocol.cc
+++ b/src/gateway/engine_protocol.cc
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-serving::RequestFacts EngineProtocol::ReadRequest(const http::RequestHead& head) const {
-  serving::RequestFacts facts;
+serving::RequestMetadata EngineProtocol::DecodeRequest(const http::RequestHead& head) const {
+  serving::RequestMetadata facts;
   facts.request_id = std::string(head.fields.Find(names_.request_id).value_or(""));
   facts.host = HostWithoutPort(head.fields.Find("Host").value_or(""));
   facts.path = std::string(http::PathOf(head.target));
@@ -60,7 +60,7 @@
   facts.api_key = std::string(head.fields.Find(names_.api_key).value_or(""));
   const auto counts = head.fields.Find(names_.token_counts);
   if (!counts) return facts;
-  serving::PromptFacts prompt;
+  serving::PromptMetadata prompt;
   const std::vector<std::string_view> numbers = SplitCommas(*counts);
   prompt.tokens = ParseInt(numbers[0]).value_or(0);
   if (numbers.size() > 1) prompt.output_tokens = ParseInt(numbers[1]).value_or(0);
@@ -88,12 +88,12 @@
   if (!attempt.last_event_id.empty()) head.fields.Add(names_.last_event_id, attempt.last_event_id);
   if (attempt.mode == serving::AttemptMode::kPrefill) head.fields.Add(names_.stage, names_.stage_prefill);
   if (!attempt.copy_from.empty()) head.fields.Add(names_.copy_source, attempt.copy_from);
-  if (attempt.memory) head.fields.Add(names_.memory_source, attempt.memory->address + "/" + attempt.memory->handle);
+  if (attempt.memory) head.fields.Add(names_.kv_source, attempt.memory->address + "/" + attempt.memory->handle);
   return head;
 }
 
-serving::AnswerFacts EngineProtocol::ReadAnswer(const http::ResponseHead& head) const {
-  serving::AnswerFacts facts;
+serving::EngineResponseHead EngineProtocol::DecodeResponse(const http::ResponseHead& head) const {
+  serving::EngineResponseHead facts;
   facts.status = head.status;
   facts.not_executed = head.fields.Has(names_.not_executed) || head.status == kMisdirected;
   facts.signed_by_engine = head.fields.Has(names_.signature);
@@ -111,14 +111,14 @@
   return !id || *id == request_id;
 }
 
-std::string EngineProtocol::ReadHandle(const std::string& body) const {
+std::string EngineProtocol::DecodeKvHandle(const std::string& body) const {
   const nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
   if (!answer.is_object() || !answer.contains(names_.handle_member)) return "";
   const nlohmann::json& handle = answer[names_.handle_member];
   return handle.is_string() ? handle.get<std::string>() : "";
 }
 
-http::RequestHead EngineProtocol::MakeRelease(const serving::MemorySource& memory) const {
+http::RequestHead EngineProtocol::MakeKvRelease(const serving::KvCacheSource& memory) const {
   http::RequestHead head;
   head.method = "DELETE";
   head.target = names_.release_path + memory.handle;
--- a/src/gateway/engine_protocol.h
+++ b/src/gateway/engine_protocol.h
@@ -14,7 +14,7 @@
 
 namespace saltquay::gateway {
 
-struct EngineProtocolNames {
+struct EngineProtocolFields {
   std::string request_id = "Saltquay-Request-Id";
   std::string deadline_ms = "Saltquay-Deadline-Ms";
   std::string last_event_id = "Last-Event-Id";
@@ -26,7 +26,7 @@
   std::string stage = "Saltquay-Stage";
   std::string stage_prefill = "prefill";
   std::string stage_decode = "decode";
-  std::string memory_source = "Saltquay-Memory-Source";
+  std::string kv_source = "Saltquay-Memory-Source";
   std::string copy_source = "Saltquay-Copy-Source";  // Engine that keeps shared parts of the prompt.
   std::string api_key = "Saltquay-Api-Key";          // Of the caller.
   std::string tenant = "Saltquay-Tenant";            // Told to engines in place of the key.
@@ -53,18 +53,18 @@
 
 class EngineProtocol {
  public:
-  explicit EngineProtocol(EngineProtocolNames names) : names_(std::move(names)) {}
+  explicit EngineProtocol(EngineProtocolFields names) : names_(std::move(names)) {}
 
   // Reads what the core needs to know of a client's request.
-  serving::RequestFacts ReadRequest(const http::RequestHead& head) const;
+  serving::RequestMetadata DecodeRequest(const http::RequestHead& head) const;
   // The client's head as it goes to the engine of `attempt`.
   http::RequestHead MakeRequest(const http::RequestHead& client, const serving::StartAttempt& attempt) const;
-  serving::AnswerFacts ReadAnswer(const http::ResponseHead& head) const;
+  serving::EngineResponseHead DecodeResponse(const http::ResponseHead& head) const;
   // Returns whether the answer is to the request of that id.
   bool Answers(const http::ResponseHead& head, std::string_view request_id) const;
   // The handle in the body of a prefill's answer; empty where there is none.
-  std::string ReadHandle(const std::string& body) const;
-  http::RequestHead MakeRelease(const serving::MemorySource& memory) const;
+  std::string DecodeKvHandle(const std::string& body) const;
+  http::RequestHead MakeKvRelease(const serving::KvCacheSource& memory) const;
 
   http::RequestHead MakeStateRead(const serving::ReadEngineState& action) const;
   // Nothing for a body that does not decode.
@@ -73,7 +73,7 @@
   std::string MakeOrderBody(const serving::SendStageOrder& action, const std::string& holder) const;
 
  private:
-  EngineProtocolNames names_;
+  EngineProtocolFields names_;
 };
 
 }  // namespace saltquay::gateway
--- a/src/gateway/event_splitter.cc
+++ b/src/gateway/event_splitter.cc
@@ -22,13 +22,13 @@
   const std::size_t end = EndOfLastEvent(rest_);
   std::string whole = rest_.substr(0, end);
   rest_.erase(0, end);
-  NoteIds(whole);
+  RecordEventIds(whole);
   return whole;
 }
 
-std::string EventSplitter::TakeRest() { return std::exchange(rest_, {}); }
+std::string EventSplitter::TakeIncompleteEvent() { return std::exchange(rest_, {}); }
 
-void EventSplitter::NoteIds(std::string_view events) {
+void EventSplitter::RecordEventIds(std::string_view events) {
   constexpr std::string_view kName = "id:";
   while (!events.empty()) {
     const std::size_t end = events.find('\n');
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -14,12 +14,12 @@
   // Adds bytes; returns those of all events that are whole now.
   std::string Feed(std::string_view bytes);
   // Returns and forgets the bytes of an event that is not whole.
-  std::string TakeRest();
+  std::string TakeIncompleteEvent();
   // The id of the last whole event; empty before the first that has one.
   const std::string& last_event_id() const { return last_event_id_; }
 
  private:
-  void NoteIds(std::string_view events);
+  void RecordEventIds(std::string_view events);
 
   std::string rest_;
   std::string last_event_id_;
--- a/src/gateway/coordination.cc
+++ b/src/gateway/fleet_coordinator.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/coordination.h"
+#include "src/gateway/fleet_coordinator.h"
 
 #include <algorithm>
 
@@ -12,9 +12,9 @@
 constexpr std::chrono::milliseconds kNewsRepeated{900};
 constexpr std::chrono::milliseconds kDigestNewsRepeated{600};
 // A report names so many peers at most: its size must not grow with the fleet.
-constexpr std::size_t kNamedPeers = 24;
+constexpr std::size_t kMaxListedPeers = 24;
 // A node's first reports are answered at once: it knows few others.
-constexpr std::uint64_t kGreetedReports = 3;
+constexpr std::uint64_t kIntroductionReports = 3;
 // Nodes that were not named for so long, and two more rounds of the listing, are taken for lost.
 constexpr Duration kNamedLately = 1500ms;
 // Digests come each tenth of a second: with none for so long, this node is cut off.
@@ -26,17 +26,17 @@
 // Between two lines of the log that sum up what was sent: a line costs nothing beside a second's requests.
 constexpr Duration kTrafficLog = 10s;
 
-serving::FleetExchangeKnobs DigestKnobs() {
-  serving::FleetExchangeKnobs knobs;
-  knobs.direct_peers = PeerExchangeOptions{}.fan_out;
-  knobs.named_nodes = kNamedPeers;
-  return knobs;
+serving::FleetExchangeParameters DigestParameters() {
+  serving::FleetExchangeParameters parameters;
+  parameters.direct_peers = PeerExchangeOptions{}.fan_out;
+  parameters.mentioned_nodes = kMaxListedPeers;
+  return parameters;
 }
 
-serving::RoleControllerKnobs RoleKnobs(const GatewaySettings& settings) {
-  serving::RoleControllerKnobs knobs;
-  knobs.planner.initial_prefill_share = settings.initial_prefill_share;
-  return knobs;
+serving::RoleControllerParameters RoleParameters(const GatewaySettings& settings) {
+  serving::RoleControllerParameters parameters;
+  parameters.planner.initial_prefill_share = settings.initial_prefill_share;
+  return parameters;
 }
 
 serving::DutyLeaseTimes LeaseTimes(const GatewaySettings& settings) {
@@ -47,9 +47,9 @@
 
 }  // namespace
 
-Coordination::Coordination(boost::asio::io_context& loop, const GatewaySettings& settings,
-                           const EngineProtocol& protocol, Gateway& gateway, replica::RelayedStore& store,
-                           DutyApi* duty_api, std::uint64_t seed)
+FleetCoordinator::FleetCoordinator(boost::asio::io_context& loop, const GatewaySettings& settings,
+                                   const EngineProtocol& protocol, Gateway& gateway, replica::RelayedStore& store,
+                                   DutyApi* duty_api, std::uint64_t seed)
     : loop_(loop),
       settings_(settings),
       protocol_(protocol),
@@ -57,25 +57,25 @@
       store_(store),
       fetcher_(loop),
       peers_(settings.node_name),
-      fleet_(DigestKnobs(),
+      fleet_(DigestParameters(),
              serving::PeerNode{settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps, false},
              gateway.core().selector().topology()),
       boot_(static_cast<std::uint64_t>(UnixMilliseconds())),
       lease_(settings.node_name, settings.peer_listen, LeaseTimes(settings), seed, gateway.Now()),
       lease_client_(gateway, store, lease_),
-      roles_(RoleKnobs(settings), lease_, gateway.core().selector().topology(), gateway.Now()),
+      roles_(RoleParameters(settings), lease_, gateway.core().selector().topology(), gateway.Now()),
       duties_(settings, gateway, store, duty_api, lease_, boot_),
       quarantine_(gateway, store, !settings.first_start, seed + 1),
       timer_(loop) {
-  gateway.on_tell_crashes = [this] { TellCrashes(); };
-  gateway.on_send_limits = [this](const serving::SendLimitMessages& action) { SendLimits(action); };
-  gateway.on_run_began = [this](const serving::RunBegan& run) { duties_.OnRunBegan(run); };
+  gateway.on_tell_crashes = [this] { ReportCrashes(); };
+  gateway.on_send_limit_messages = [this](const serving::SendLimitMessages& action) { SendLimitMessageBatch(action); };
+  gateway.on_run_began = [this](const serving::ExecutionStarted& run) { duties_.OnRunBegan(run); };
 }
 
-absl::Status Coordination::Start() {
+absl::Status FleetCoordinator::Start() {
   Tick();
   if (settings_.peer_listen.empty()) {
-    TellCore({});  // It is alone, and knows it.
+    DispatchPeersChanged({});  // It is alone, and knows it.
     return absl::OkStatus();
   }
   PeerExchangeOptions options;
@@ -84,27 +84,27 @@
   PeerExchange::Handlers handlers;
   handlers.fill = [this](serving::PeerReport& report) { FillReport(report); };
   handlers.on_report = [this](const serving::PeerReport& report) { OnReport(report); };
-  handlers.on_refused = [this](const absl::Status& cause, const std::string& sender) {
-    OnRefusedReport(cause, sender);
+  handlers.on_rejected_report = [this](const absl::Status& cause, const std::string& sender) {
+    OnRejectedReport(cause, sender);
   };
   handlers.peers = [this] { return peers_.Nodes(); };
   handlers.on_sent = [this](const std::string& address, serving::ReportScope scope, std::size_t bytes) {
-    gateway_.traffic().Count(KindOf(scope), ReachOf(address), bytes);
+    gateway_.traffic().Count(KindOf(scope), LocalityOf(address), bytes);
   };
   exchange_ = std::make_unique<PeerExchange>(loop_, std::move(options), std::move(handlers));
   return exchange_->Start();
 }
 
-void Coordination::BeginStop() {
+void FleetCoordinator::StartStopping() {
   stopping_ = true;
   gateway_.Dispatch(serving::NodeStopping{});
-  lease_client_.GiveUp([this] {
-    if (exchange_ != nullptr) exchange_->SendNow();
+  lease_client_.Resign([this] {
+    if (exchange_ != nullptr) exchange_->SendReportNow();
   });
-  if (exchange_ != nullptr) exchange_->SendNow();
+  if (exchange_ != nullptr) exchange_->SendReportNow();
 }
 
-void Coordination::FillReport(serving::PeerReport& report) {
+void FleetCoordinator::FillReport(serving::PeerReport& report) {
   const Time now = gateway_.Now();
   const bool in_digests = fleet_.View(now) != nullptr;
   report.node = settings_.node_name;
@@ -115,24 +115,24 @@
   report.work = gateway_.core().OwnWork(now);
   report.demand = OwnDemand();
   report.holds = roles_.Holds(now);
-  report.kept = gateway_.core().selector().NewsSince(now - (in_digests ? kDigestNewsRepeated : kNewsRepeated));
-  report.crashes = gateway_.core().crashes().MarksToTell(now);
-  report.peers = peers_.NextNodes(kNamedPeers);
+  report.kept = gateway_.core().selector().CacheUpdatesSince(now - (in_digests ? kDigestNewsRepeated : kNewsRepeated));
+  report.crashes = gateway_.core().crashes().MarksToReport(now);
+  report.peers = peers_.NextPeersToMention(kMaxListedPeers);
   report.zone = settings_.zone;
   report.link_mbps = settings_.link_mbps;
   report.records = store_.marks();
   if (duties_.any()) {
-    report.lease = OwnLeaseMark();
+    report.lease = LocalLeaseMark();
     report.wall_ms = UnixMilliseconds();
   }
 }
 
-std::vector<serving::PeerNode> Coordination::Members() const {
+std::vector<serving::PeerNode> FleetCoordinator::Members() const {
   std::vector<serving::PeerNode> nodes = peers_.Nodes();
   return fleet_.IsLarge(nodes) ? nodes : peers_.Heard();
 }
 
-void Coordination::OnReport(const serving::PeerReport& report) {
+void FleetCoordinator::OnReport(const serving::PeerReport& report) {
   const Time now = gateway_.Now();
   if (report.scope == serving::ReportScope::kUsage) return duties_.OnUsage(report);
   if (report.scope == serving::ReportScope::kLimits) {
@@ -140,12 +140,12 @@
     return;
   }
   // Whoever tells it and however late: marks add up in any order.
-  if (!report.crashes.empty()) gateway_.Dispatch(serving::CrashesTold{report.crashes});
+  if (!report.crashes.empty()) gateway_.Dispatch(serving::PeerCrashesReported{report.crashes});
   duties_.OnClock(report);
-  NoteLease(report.lease);
+  MergeLeaseMark(report.lease);
   if (report.scope != serving::ReportScope::kNode) {
-    peers_.NoteNamed(report, now);
-    if (fleet_.Note(report, now)) TellCore(report.kept);
+    peers_.RecordMentionedPeers(report, now);
+    if (fleet_.Note(report, now)) DispatchPeersChanged(report.kept);
     return;
   }
   const int before = peers_.Count();
@@ -154,58 +154,58 @@
   if (peers_.Count() != before) {
     gateway_.Log(EventId::kMemberAlive, "",
                  fmt::format(R"("node":"{}","nodes":{})", EscapeJson(report.node), peers_.Count()));
-    if (report.sequence <= kGreetedReports) exchange_->Greet(report.address);
+    if (report.sequence <= kIntroductionReports) exchange_->Greet(report.address);
   }
   // What digests tell is whole and newer.
-  if (fleet_.View(now) == nullptr) TellCore(report.kept);
+  if (fleet_.View(now) == nullptr) DispatchPeersChanged(report.kept);
 }
 
-void Coordination::OnRefusedReport(const absl::Status& cause, const std::string& sender) {
+void FleetCoordinator::OnRejectedReport(const absl::Status& cause, const std::string& sender) {
   constexpr std::size_t kMostSenders = 64;
-  if (refused_senders_.size() >= kMostSenders || !refused_senders_.insert(sender).second) return;
+  if (rejected_senders_.size() >= kMostSenders || !rejected_senders_.insert(sender).second) return;
   gateway_.Log(EventId::kPeerDataRefused, "",
                fmt::format(R"("sender":"{}","cause":"{}")", EscapeJson(sender), EscapeJson(MessageOf(cause))));
 }
 
 // Addresses are asked for with each datagram; the table of peers is searched once for each.
-TrafficReach Coordination::ReachOf(const std::string& address) {
+TrafficLocality FleetCoordinator::LocalityOf(const std::string& address) {
   constexpr std::size_t kMostAddresses = 4096;  // Nodes that are replaced come back at others.
-  const auto known = reach_of_peers_.find(address);
-  if (known != reach_of_peers_.end()) return known->second;
+  const auto known = peer_localities_.find(address);
+  if (known != peer_localities_.end()) return known->second;
   const std::vector<serving::PeerNode> nodes = peers_.Nodes();
   const auto peer =
       std::find_if(nodes.begin(), nodes.end(), [&](const serving::PeerNode& node) { return node.address == address; });
-  if (peer == nodes.end()) return TrafficReach::kFar;
-  if (reach_of_peers_.size() >= kMostAddresses) reach_of_peers_.clear();
-  return reach_of_peers_[address] = gateway_.traffic().ReachOf(peer->zone);
+  if (peer == nodes.end()) return TrafficLocality::kOtherRegion;
+  if (peer_localities_.size() >= kMostAddresses) peer_localities_.clear();
+  return peer_localities_[address] = gateway_.traffic().LocalityOf(peer->zone);
 }
 
-void Coordination::LogTraffic() {
+void FleetCoordinator::LogTraffic() {
   const Time now = gateway_.Now();
   if (now < next_traffic_log_) return;
   if (next_traffic_log_ != Time{}) gateway_.Log(EventId::kTrafficSummary, "", gateway_.traffic().Summary());
   next_traffic_log_ = now + kTrafficLog;
 }
 
-void Coordination::TellCore(const std::vector<serving::KeptPart>& kept) {
+void FleetCoordinator::DispatchPeersChanged(const std::vector<serving::KeptPart>& kept) {
   serving::PeersChanged changed;
   changed.kept = kept;
   if (const serving::PeerReport* digest = fleet_.View(gateway_.Now())) {
-    AddDigest(changed, *digest);
+    AddFleetDigest(changed, *digest);
   } else {
-    AddReports(changed);
+    AddPeerReports(changed);
   }
   for (const serving::EngineHold& hold : roles_.Holds(gateway_.Now())) changed.holds.push_back(hold);
   gateway_.Dispatch(changed);
 }
 
-void Coordination::TellNodes() {
+void FleetCoordinator::DispatchNodesChanged() {
   if (!gateway_.core().has_limits()) return;
   const Time now = gateway_.Now();
   const std::size_t known = peers_.Nodes().size();
   const bool large = fleet_.IsLarge(peers_.Nodes());
   // A node that is lost ceases to be named; the others are named again each time the listing goes round.
-  const Duration listing = DigestKnobs().interval * static_cast<int>(known / kNamedPeers + 1);
+  const Duration listing = DigestParameters().interval * static_cast<int>(known / kMaxListedPeers + 1);
   serving::NodesChanged changed;
   for (const serving::PeerNode& peer : peers_.RecentNodes(now, kNamedLately + 2 * listing)) {
     changed.nodes.push_back({peer.node, peer.address, peer.zone, peer.link_mbps});
@@ -218,7 +218,7 @@
   gateway_.Dispatch(changed);
 }
 
-void Coordination::SendLimits(const serving::SendLimitMessages& action) {
+void FleetCoordinator::SendLimitMessageBatch(const serving::SendLimitMessages& action) {
   if (exchange_ == nullptr) return;
   std::map<std::string, serving::FleetMessage> by_address;
   for (const limits::AddressedLimitMessage& addressed : action.messages) {
@@ -230,7 +230,7 @@
   for (auto& [address, message] : by_address) exchange_->Send({message});
 }
 
-void Coordination::AddReports(serving::PeersChanged& changed) {
+void FleetCoordinator::AddPeerReports(serving::PeersChanged& changed) {
   changed.age = PeerExchangeOptions{}.interval / 2;
   changed.nodes = static_cast<int>(Members().size()) + 1;
   changed.work = peers_.WorkByEngine();
@@ -240,10 +240,10 @@
   }
 }
 
-void Coordination::AddDigest(serving::PeersChanged& changed, const serving::PeerReport& digest) {
+void FleetCoordinator::AddFleetDigest(serving::PeersChanged& changed, const serving::PeerReport& digest) {
   changed.nodes = digest.nodes;
   changed.age = fleet_.ViewAge(gateway_.Now());
-  gateway_.metrics().ObserveKnowledgeAge(ToSeconds(changed.age));
+  gateway_.metrics().ObserveDigestAge(ToSeconds(changed.age));
   for (const serving::EngineWork& work : digest.work) changed.work[work.engine] = work;
   changed.holds = digest.holds;
   serving::DemandSum demand;
@@ -251,22 +251,22 @@
   for (const auto& [service, sum] : demand.ByService()) changed.demand.push_back(sum);
 }
 
-void Coordination::ExchangeDigests() {
+void FleetCoordinator::ExchangeDigests() {
   const Time now = gateway_.Now();
   if (exchange_ == nullptr || now < next_digests_) return;
-  next_digests_ = now + DigestKnobs().interval;
+  next_digests_ = now + DigestParameters().interval;
   const std::vector<serving::PeerNode> nodes = peers_.Nodes();
-  if (!fleet_.IsLarge(nodes)) return exchange_->set_quiet(false);
+  if (!fleet_.IsLarge(nodes)) return exchange_->set_reduced_rate(false);
   serving::PeerReport own;
   FillReport(own);
   own.peers.clear();
   const bool aggregates = fleet_.aggregates(now);
   exchange_->Send(fleet_.Tick(now, own, nodes));
-  exchange_->set_quiet(fleet_.View(now) != nullptr);
-  if (aggregates) TellCore({});
+  exchange_->set_reduced_rate(fleet_.View(now) != nullptr);
+  if (aggregates) DispatchPeersChanged({});
 }
 
-void Coordination::UpdateStorePeers() {
+void FleetCoordinator::UpdateStorePeers() {
   const serving::PeerReport* digest = fleet_.View(gateway_.Now());
   std::vector<serving::RecordMark> marks = peers_.LastChanges();
   if (digest != nullptr) marks.insert(marks.end(), digest->records.begin(), digest->records.end());
@@ -274,7 +274,7 @@
 }
 
 // Frozen, suspended or starved of its processor: whatever it believes is as old as that.
-void Coordination::NoteStandstill() {
+void FleetCoordinator::DetectStall() {
   constexpr Duration kStoodStill = 1s;
   const Time now = gateway_.Now();
   const Duration gap = now - last_tick_;
@@ -284,18 +284,18 @@
   last_tick_ = now;
 }
 
-void Coordination::Tick() {
-  NoteStandstill();
+void FleetCoordinator::Tick() {
+  DetectStall();
   const int before = peers_.Count();
   peers_.Expire(gateway_.Now());
   // While digests come, rounds are rare and most nodes are known through others only.
   if (peers_.Count() != before && fleet_.View(gateway_.Now()) == nullptr) {
     gateway_.Log(EventId::kMemberDead, "", fmt::format(R"("nodes":{})", peers_.Count()));
-    TellCore({});
+    DispatchPeersChanged({});
   }
   UpdateStorePeers();
   ExchangeDigests();
-  TellNodes();
+  DispatchNodesChanged();
   const std::vector<serving::PeerNode> members = Members();
   const std::optional<serving::ServingConfig>& config = gateway_.core().config();
   serving::DemandSum demand;
@@ -308,10 +308,10 @@
   duties_.Tick(members, demand.ByService(), [this](const std::vector<serving::FleetMessage>& messages) {
     if (exchange_ != nullptr) exchange_->Send(messages);
   });
-  StepLease();
+  RunLease();
   quarantine_.Step();
   LogTraffic();
-  gateway_.metrics().SetLeader(lease_.MayOrder(gateway_.Now()));
+  gateway_.metrics().SetLeader(lease_.IsHeldFor(gateway_.Now()));
   timer_.expires_after(kTick);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) Tick();
@@ -320,13 +320,13 @@
 
 // Where there are duties, who holds the lease also plans the engines' roles; elsewhere the lease is only taken for
 // orders, by one node that all agree on.
-bool Coordination::IsCandidate(const std::vector<serving::PeerNode>& members) {
-  const bool may_plan = !stopping_ && store_contact_ && gateway_.core().ready();
+bool FleetCoordinator::IsCandidate(const std::vector<serving::PeerNode>& members) {
+  const bool may_plan = !stopping_ && store_connected_ && gateway_.core().ready();
   if (!may_plan) return false;
-  return duties_.any() ? lease_.MayOrder(gateway_.Now()) : peers_.OwnNameIsLeast(members);
+  return duties_.any() ? lease_.IsHeldFor(gateway_.Now()) : peers_.HasLowestName(members);
 }
 
-void Coordination::StepLease() {
+void FleetCoordinator::RunLease() {
   const Time now = gateway_.Now();
   if (!duties_.any()) {
     if (lease_.wanted(now)) lease_client_.Step(kLeaseMargin, 0);
@@ -334,27 +334,27 @@
   }
   // Who hears no peers gets no counts from them: in a fleet of many, it leaves the duties to others.
   const bool hears_peers = !fleet_.IsLarge(peers_.Nodes()) || fleet_.View(now) != nullptr;
-  if (!stopping_ && store_contact_ && hears_peers) lease_client_.Step(kLeaseMargin, duties_.own_rank());
+  if (!stopping_ && store_connected_ && hears_peers) lease_client_.Step(kLeaseMargin, duties_.own_rank());
 }
 
-serving::LeaseMark Coordination::OwnLeaseMark() const {
+serving::LeaseMark FleetCoordinator::LocalLeaseMark() const {
   const serving::LeaseRecord& record = lease_.known();
   return {record.holder, record.address, record.revision};
 }
 
-void Coordination::NoteLease(const serving::LeaseMark& mark) {
-  if (mark.revision > 0) lease_.OnHeard({mark.holder, mark.address, 0, 0, mark.revision}, gateway_.Now());
+void FleetCoordinator::MergeLeaseMark(const serving::LeaseMark& mark) {
+  if (mark.revision > 0) lease_.OnPeerRecord({mark.holder, mark.address, 0, 0, mark.revision}, gateway_.Now());
 }
 
-std::vector<serving::ServiceDemand> Coordination::OwnDemand() {
+std::vector<serving::ServiceDemand> FleetCoordinator::OwnDemand() {
   std::vector<serving::ServiceDemand> demand = gateway_.core().OwnDemand(gateway_.Now());
   const serving::Topology& topology = gateway_.core().selector().topology();
-  if (!topology.HasRegions()) return demand;
+  if (!topology.HasMultipleRegions()) return demand;
   for (serving::ServiceDemand& own : demand) own.region = topology.OwnRegion();
   return demand;
 }
 
-serving::DemandSum Coordination::TotalDemand() {
+serving::DemandSum FleetCoordinator::TotalDemand() {
   serving::DemandSum total;
   total.Add(OwnDemand());
   const serving::PeerReport* digest = fleet_.View(gateway_.Now());
@@ -362,12 +362,12 @@
   return total;
 }
 
-void Coordination::TellCrashes() {
-  if (exchange_ != nullptr) exchange_->SendUrgent();
-  ExchangeDigestsNow();
+void FleetCoordinator::ReportCrashes() {
+  if (exchange_ != nullptr) exchange_->SendReportWide();
+  ExchangeDigestsImmediately();
 }
 
-void Coordination::ExchangeDigestsNow() {
+void FleetCoordinator::ExchangeDigestsImmediately() {
   next_digests_ = Time{};
   ExchangeDigests();
 }
--- a/src/gateway/coordination.h
+++ b/src/gateway/fleet_coordinator.h
@@ -14,45 +14,45 @@
 #include "saltquay/replica/relayed_store.h"
 #include "src/core/serving/fleet_exchange.h"
 #include "src/core/serving/role_controller.h"
-#include "src/gateway/duties.h"
 #include "src/gateway/gateway.h"
+#include "src/gateway/leader_duties.h"
 #include "src/gateway/peer_exchange.h"
 #include "src/gateway/quarantine_store.h"
 
 namespace saltquay::gateway {
 
-class Coordination {
+class FleetCoordinator {
  public:
-  Coordination(boost::asio::io_context& loop, const GatewaySettings& settings, const EngineProtocol& protocol,
-               Gateway& gateway, replica::RelayedStore& store, DutyApi* duty_api, std::uint64_t seed);
+  FleetCoordinator(boost::asio::io_context& loop, const GatewaySettings& settings, const EngineProtocol& protocol,
+                   Gateway& gateway, replica::RelayedStore& store, DutyApi* duty_api, std::uint64_t seed);
 
   absl::Status Start();
   // This node stops: it plans no more, and tells its peers.
-  void BeginStop();
-  void set_store_contact(bool in_contact) { store_contact_ = in_contact; }
+  void StartStopping();
+  void set_store_connected(bool in_contact) { store_connected_ = in_contact; }
 
  private:
   void FillReport(serving::PeerReport& report);
   void OnReport(const serving::PeerReport& report);
-  void OnRefusedReport(const absl::Status& cause, const std::string& sender);
+  void OnRejectedReport(const absl::Status& cause, const std::string& sender);
   // `kept`: news of a report.
-  void TellCore(const std::vector<serving::KeptPart>& kept);
+  void DispatchPeersChanged(const std::vector<serving::KeptPart>& kept);
   // Tells the core which nodes are there, where tenants have limits.
-  void TellNodes();
-  void SendLimits(const serving::SendLimitMessages& action);
+  void DispatchNodesChanged();
+  void SendLimitMessageBatch(const serving::SendLimitMessages& action);
   // What the peers' own reports add up to, and what the fleet's digest says.
-  void AddReports(serving::PeersChanged& changed);
-  void AddDigest(serving::PeersChanged& changed, const serving::PeerReport& digest);
+  void AddPeerReports(serving::PeersChanged& changed);
+  void AddFleetDigest(serving::PeersChanged& changed, const serving::PeerReport& digest);
   void Tick();
-  void NoteStandstill();
+  void DetectStall();
   // The round of reports and digests of a large fleet.
   void ExchangeDigests();
-  void ExchangeDigestsNow();
+  void ExchangeDigestsImmediately();
   // Sends what this node knows of requests under which engines ended.
-  void TellCrashes();
+  void ReportCrashes();
   void UpdateStorePeers();
   // How far away the peer at that address is.
-  TrafficReach ReachOf(const std::string& address);
+  TrafficLocality LocalityOf(const std::string& address);
   void LogTraffic();
   // Nodes that count as members: heard, in a large fleet also those that others named.
   std::vector<serving::PeerNode> Members() const;
@@ -61,9 +61,9 @@
   serving::DemandSum TotalDemand();
   // Whether this node may be the one that acts for all.
   bool IsCandidate(const std::vector<serving::PeerNode>& members);
-  void StepLease();
-  serving::LeaseMark OwnLeaseMark() const;
-  void NoteLease(const serving::LeaseMark& mark);
+  void RunLease();
+  serving::LeaseMark LocalLeaseMark() const;
+  void MergeLeaseMark(const serving::LeaseMark& mark);
   void Carry(const std::vector<serving::RoleAction>& actions);
   void CarryOne(const serving::ReadEngineState& action);
   void CarryOne(const serving::SendStageOrder& action);
@@ -84,18 +84,18 @@
   serving::DutyLease lease_;
   LeaseClient lease_client_;
   serving::RoleController roles_;
-  Duties duties_;
+  LeaderDuties duties_;
   QuarantineStore quarantine_;
   std::unique_ptr<PeerExchange> exchange_;
   BootTimer timer_;
   std::uint64_t sequence_ = 0;
   Time next_digests_{};
   Time last_tick_{};
-  std::set<std::string> refused_senders_;
-  std::unordered_map<std::string, TrafficReach> reach_of_peers_;  // By address.
+  std::set<std::string> rejected_senders_;
+  std::unordered_map<std::string, TrafficLocality> peer_localities_;  // By address.
   Time next_traffic_log_{};
   bool stopping_ = false;
-  bool store_contact_ = false;
+  bool store_connected_ = false;
 };
 
 }  // namespace saltquay::gateway
--- a/src/gateway/coordination_roles.cc
+++ b/src/gateway/fleet_coordinator_roles.cc
@@ -1,6 +1,6 @@
 // Carries out what the planner of roles decides: reads engines' states, sends
 // orders, announces holds.
-#include "src/gateway/coordination.h"
+#include "src/gateway/fleet_coordinator.h"
 
 namespace saltquay::gateway {
 namespace {
@@ -23,24 +23,24 @@
 
 }  // namespace
 
-void Coordination::Carry(const std::vector<serving::RoleAction>& actions) {
+void FleetCoordinator::Carry(const std::vector<serving::RoleAction>& actions) {
   for (const serving::RoleAction& action : actions) {
     std::visit([this](const auto& typed) { CarryOne(typed); }, action);
   }
 }
 
-void Coordination::CarryOne(const serving::ReadEngineState& action) {
+void FleetCoordinator::CarryOne(const serving::ReadEngineState& action) {
   CallEngine(action.address, action.engine_id, protocol_.MakeStateRead(action), "",
              [this, id = action.engine_id](const absl::StatusOr<fetch::Reply>& reply) {
                std::vector<serving::RoleAction> actions;
                const bool read = reply.ok() && reply->status == kOk;
                const auto report = read ? protocol_.ReadState(reply->body) : std::nullopt;
-               roles_.OnEngineState(gateway_.Now(), id, report, gateway_.core().engines(), actions);
+               roles_.OnEngineStateRead(gateway_.Now(), id, report, gateway_.core().engines(), actions);
                Carry(actions);
              });
 }
 
-void Coordination::CarryOne(const serving::SendStageOrder& action) {
+void FleetCoordinator::CarryOne(const serving::SendStageOrder& action) {
   CallEngine(action.address, action.engine_id, protocol_.MakeOrderHead(action),
              protocol_.MakeOrderBody(action, settings_.node_name),
              [this, id = action.engine_id](const absl::StatusOr<fetch::Reply>& reply) {
@@ -50,16 +50,17 @@
              });
 }
 
-void Coordination::CarryOne(const serving::AnnounceHolds& /*action*/) {
-  if (exchange_ != nullptr) exchange_->SendNow();
-  ExchangeDigestsNow();
-  TellCore({});
+void FleetCoordinator::CarryOne(const serving::AnnounceHolds& /*action*/) {
+  if (exchange_ != nullptr) exchange_->SendReportNow();
+  ExchangeDigestsImmediately();
+  DispatchPeersChanged({});
 }
 
-void Coordination::CarryOne(const serving::LogRole& action) { gateway_.Log(action.event, "", action.details); }
+void FleetCoordinator::CarryOne(const serving::LogRole& action) { gateway_.Log(action.event, "", action.details); }
 
-void Coordination::CallEngine(const std::string& address, const std::string& engine_id, const http::RequestHead& head,
-                              const std::string& body, fetch::Fetcher::Handler done) {
+void FleetCoordinator::CallEngine(const std::string& address, const std::string& engine_id,
+                                  const http::RequestHead& head, const std::string& body,
+                                  fetch::Fetcher::Handler done) {
   fetch::Options options;
   options.pool = address + "#" + engine_id;
   options.connect_timeout = kEngineConnect;
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -44,18 +44,18 @@
       protocol_(std::move(protocol)),
       fingerprint_key_(settings.fingerprint_key),
       log_(log),
-      core_(settings.knobs, settings.zone, seed),
+      core_(settings.parameters, settings.zone, seed),
       client_(loop),
       probe_(loop),
       metrics_(settings.node_name),
       traffic_(core_.selector().topology()),
       timer_(loop),
       flush_timer_(loop) {
-  const limits::LimitNode self{settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps};
+  const limits::LimiterNode self{settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps};
   const auto boot = static_cast<std::uint64_t>(UnixMilliseconds());
   const bool alone = settings.peer_listen.empty();
   if (!settings.first_start) core_.BeginAfterRestart(Now());
-  core_.set_limiter(limits::make_home_limiter(self, boot, alone, settings.limit_tolerance, Now()));
+  core_.set_limiter(limits::make_distributed_limiter(self, boot, alone, settings.limit_tolerance, Now()));
 }
 
 Gateway::~Gateway() = default;
@@ -100,7 +100,7 @@
   timer_.async_wait([this](boost::system::error_code error) {
     if (error) return;
     timer_at_.reset();
-    Dispatch(serving::TimePassed{});
+    Dispatch(serving::TimerFired{});
   });
 }
 
@@ -108,19 +108,19 @@
   const serving::FlowId id = ++last_flow_;
   serving::RequestArrived arrived;
   arrived.flow = id;
-  arrived.facts = protocol_.ReadRequest(exchange->head);
+  arrived.facts = protocol_.DecodeRequest(exchange->head);
   arrived.facts.fingerprint = FingerprintRequest(exchange->head, exchange->body, fingerprint_key_);
-  flows_[id] = LiveFlow{exchange, arrived.facts.request_id, Now(), false, false};
+  flows_[id] = ActiveFlow{exchange, arrived.facts.request_id, Now(), false, false};
   exchange->on_client_left = [this, id] {
-    if (flows_.erase(id) > 0) Dispatch(serving::ClientLeft{id});
+    if (flows_.erase(id) > 0) Dispatch(serving::ClientDisconnected{id});
   };
   Dispatch(arrived);
 }
 
-void Gateway::RefuseUnread(const std::shared_ptr<http::Exchange>& exchange, std::string_view cause,
-                           std::string_view retry_after) {
+void Gateway::RefuseUndispatched(const std::shared_ptr<http::Exchange>& exchange, std::string_view cause,
+                                 std::string_view retry_after) {
   constexpr int kUnavailable = 503;
-  Log(EventId::kRequestRefused, protocol_.ReadRequest(exchange->head).request_id,
+  Log(EventId::kRequestRefused, protocol_.DecodeRequest(exchange->head).request_id,
       fmt::format(R"("status":{},"cause":"{}","held_ms":0,"tries":0)", kUnavailable, cause));
   metrics_.CountRequest(kUnavailable);
   http::ResponseHead head;
@@ -132,7 +132,7 @@
 void Gateway::Carry(const serving::StartAttempt& action) {
   const auto flow = flows_.find(action.flow);
   const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(action.address);
-  LiveAttempt& attempt = attempts_[action.attempt];
+  ActiveAttempt& attempt = attempts_[action.attempt];
   attempt.flow = action.flow;
   attempt.mode = action.mode;
   attempt.streams = action.streams && action.mode != serving::AttemptMode::kPrefill;
@@ -148,7 +148,7 @@
   options.on_new_connection = action.on_new_connection;
   std::string bytes = http::SerializeRequest(protocol_.MakeRequest(exchange.head, action), exchange.body);
   if (const serving::EngineState* engine = core_.engines().Find(action.engine_id)) {
-    attempt.reach = traffic_.ReachOf(engine->record.zone);
+    attempt.reach = traffic_.LocalityOf(engine->record.zone);
   }
   traffic_.Count(TrafficKind::kRequest, attempt.reach, bytes.size());
   attempt.call = client_.Start(*endpoint, PoolOf(action.address, action.engine_id), std::move(bytes), options,
@@ -173,7 +173,7 @@
   if (entry == attempts_.end()) return;
   entry->second.head = head;
   http::RemoveConnectionFields(entry->second.head.fields);
-  Dispatch(serving::AttemptHead{entry->second.flow, id, protocol_.ReadAnswer(head)});
+  Dispatch(serving::AttemptHeadReceived{entry->second.flow, id, protocol_.DecodeResponse(head)});
 }
 
 void Gateway::OnBody(serving::AttemptId id, std::string_view bytes) {
@@ -184,7 +184,7 @@
   entry->second.body += bytes;
 }
 
-void Gateway::RelayEvents(serving::AttemptId id, LiveAttempt& attempt, std::string_view bytes) {
+void Gateway::RelayEvents(serving::AttemptId id, ActiveAttempt& attempt, std::string_view bytes) {
   const std::string whole = attempt.events.Feed(bytes);
   const auto flow = flows_.find(attempt.flow);
   if (whole.empty() || flow == flows_.end()) return;
@@ -193,19 +193,19 @@
     metrics_.ObserveFirstEvent(ToSeconds(Now() - flow->second.arrived));
   }
   flow->second.exchange->Write(whole);
-  Dispatch(serving::AttemptEvents{attempt.flow, id, attempt.events.last_event_id()});
+  Dispatch(serving::AttemptEventsReceived{attempt.flow, id, attempt.events.last_event_id()});
 }
 
 void Gateway::OnComplete(serving::AttemptId id) {
   const auto entry = attempts_.find(id);
   if (entry == attempts_.end()) return;
-  LiveAttempt& attempt = entry->second;
+  ActiveAttempt& attempt = entry->second;
   const auto flow = flows_.find(attempt.flow);
   // Bytes after the last whole event belong to the answer when it came whole.
-  if (attempt.relays && flow != flows_.end()) flow->second.exchange->Write(attempt.events.TakeRest());
+  if (attempt.relays && flow != flows_.end()) flow->second.exchange->Write(attempt.events.TakeIncompleteEvent());
   metrics_.CountAttempt(ModeName(attempt.mode), std::to_string(attempt.head.status));
   serving::AttemptCompleted completed{attempt.flow, id, ""};
-  if (attempt.mode == serving::AttemptMode::kPrefill) completed.handle = protocol_.ReadHandle(attempt.body);
+  if (attempt.mode == serving::AttemptMode::kPrefill) completed.handle = protocol_.DecodeKvHandle(attempt.body);
   Dispatch(completed);
   attempts_.erase(id);
 }
@@ -221,11 +221,11 @@
 
 void Gateway::Carry(const serving::CancelAttempt& action) { attempts_.erase(action.attempt); }
 
-void Gateway::Carry(const serving::DropRestingConnections& action) {
+void Gateway::Carry(const serving::DropIdleConnections& action) {
   client_.ForgetPool(PoolOf(action.address, action.engine_id));
 }
 
-void Gateway::Carry(const serving::RelayAnswer& action) {
+void Gateway::Carry(const serving::RelayResponse& action) {
   const auto attempt = attempts_.find(action.attempt);
   const auto flow = flows_.find(action.flow);
   if (attempt == attempts_.end() || flow == flows_.end()) return;
@@ -249,7 +249,7 @@
   EndFlow(action.flow, 200);
 }
 
-void Gateway::Carry(const serving::AnswerOwn& action) {
+void Gateway::Carry(const serving::SendLocalReply& action) {
   const auto flow = flows_.find(action.flow);
   if (flow == flows_.end()) return;
   http::ResponseHead head;
@@ -263,15 +263,15 @@
   EndFlow(action.flow, action.status);
 }
 
-void Gateway::Carry(const serving::BreakOff& action) {
+void Gateway::Carry(const serving::AbortResponse& action) {
   const auto flow = flows_.find(action.flow);
   if (flow == flows_.end()) return;
   flow->second.exchange->Abort();
-  metrics_.CountBrokenOff();
+  metrics_.CountAbortedStream();
   EndFlow(action.flow, 0);
 }
 
-void Gateway::Carry(const serving::ReleaseMemory& action) {
+void Gateway::Carry(const serving::ReleaseKvCache& action) {
   const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(action.memory.address);
   if (!endpoint.ok()) return;
   const std::uint64_t id = ++last_release_;
@@ -282,10 +282,10 @@
   http::CallOptions options;
   options.connect_timeout = kReleaseConnect;
   releases_[id] = client_.Start(*endpoint, PoolOf(action.memory.address, action.memory.engine_id),
-                                http::SerializeRequest(protocol_.MakeRelease(action.memory), ""), options, handlers);
+                                http::SerializeRequest(protocol_.MakeKvRelease(action.memory), ""), options, handlers);
 }
 
-void Gateway::Carry(const serving::RunBegan& action) {
+void Gateway::Carry(const serving::ExecutionStarted& action) {
   if (on_run_began) on_run_began(action);
 }
 
@@ -293,21 +293,21 @@
   metrics_.CountExtraArrival(action.service, std::string(serving::NameOf(action.cause)));
 }
 
-void Gateway::Carry(const serving::CheckEngine& action) {
-  probe_.Check(action.address, [this, id = action.engine_id](serving::EngineCheckOutcome outcome) {
-    Dispatch(serving::EngineChecked{id, outcome});
+void Gateway::Carry(const serving::ProbeEngine& action) {
+  probe_.Check(action.address, [this, id = action.engine_id](serving::EngineProbeOutcome outcome) {
+    Dispatch(serving::EngineProbed{id, outcome});
   });
 }
 
 // Reports are filled from the core: it has to have come to the end of its event.
-void Gateway::Carry(const serving::TellCrashes& /*action*/) {
+void Gateway::Carry(const serving::ReportCrashes& /*action*/) {
   boost::asio::post(loop_, [this] {
     if (on_tell_crashes) on_tell_crashes();
   });
 }
 
 void Gateway::Carry(const serving::SendLimitMessages& action) {
-  if (on_send_limits) on_send_limits(action);
+  if (on_send_limit_messages) on_send_limit_messages(action);
 }
 
 void Gateway::Carry(const serving::LogDecision& action) {
@@ -319,7 +319,7 @@
   const auto flow = flows_.find(id);
   if (flow == flows_.end()) return;
   metrics_.CountRequest(status);
-  metrics_.ObserveAnswer(ToSeconds(Now() - flow->second.arrived));
+  metrics_.ObserveResponse(ToSeconds(Now() - flow->second.arrived));
   // The handler may be what runs now; it must outlive this call.
   boost::asio::post(loop_, [exchange = std::move(flow->second.exchange)] { exchange->on_client_left = nullptr; });
   flows_.erase(flow);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -33,13 +33,13 @@
   void Dispatch(const serving::Event& event);
   void Handle(const std::shared_ptr<http::Exchange>& exchange);
   // Refuses a request of which the core knows nothing; it has not run. `retry_after`: seconds.
-  void RefuseUnread(const std::shared_ptr<http::Exchange>& exchange, std::string_view cause,
-                    std::string_view retry_after);
+  void RefuseUndispatched(const std::shared_ptr<http::Exchange>& exchange, std::string_view cause,
+                          std::string_view retry_after);
 
   // Runs when a tenant's request has begun to run.
-  std::function<void(const serving::RunBegan&)> on_run_began;
+  std::function<void(const serving::ExecutionStarted&)> on_run_began;
   // Sends messages of tenants' limits to other nodes.
-  std::function<void(const serving::SendLimitMessages&)> on_send_limits;
+  std::function<void(const serving::SendLimitMessages&)> on_send_limit_messages;
   // Runs when the peers are to be told of requests under which engines ended.
   std::function<void()> on_tell_crashes;
 
@@ -51,14 +51,14 @@
   void Log(EventId event, std::string_view request_id, std::string_view members);
 
  private:
-  struct LiveFlow {
+  struct ActiveFlow {
     std::shared_ptr<http::Exchange> exchange;
     std::string request_id;
     Time arrived{};
     bool head_sent = false;
     bool first_event_sent = false;
   };
-  struct LiveAttempt {
+  struct ActiveAttempt {
     serving::FlowId flow = 0;
     serving::AttemptMode mode = serving::AttemptMode::kWhole;
     std::string request_id;
@@ -67,23 +67,23 @@
     std::string body;
     bool streams = false;
     bool relays = false;
-    TrafficReach reach = TrafficReach::kZone;  // Of its engine.
+    TrafficLocality reach = TrafficLocality::kZone;  // Of its engine.
     EventSplitter events;
   };
 
   void Carry(const serving::StartAttempt& action);
   void Carry(const serving::CancelAttempt& action);
-  void Carry(const serving::DropRestingConnections& action);
-  void Carry(const serving::RelayAnswer& action);
+  void Carry(const serving::DropIdleConnections& action);
+  void Carry(const serving::RelayResponse& action);
   void Carry(const serving::BeginRelay& action);
   void Carry(const serving::EndRelay& action);
-  void Carry(const serving::AnswerOwn& action);
-  void Carry(const serving::BreakOff& action);
-  void Carry(const serving::ReleaseMemory& action);
-  void Carry(const serving::RunBegan& action);
+  void Carry(const serving::SendLocalReply& action);
+  void Carry(const serving::AbortResponse& action);
+  void Carry(const serving::ReleaseKvCache& action);
+  void Carry(const serving::ExecutionStarted& action);
   void Carry(const serving::ExtraArrivalCounted& action);
-  void Carry(const serving::CheckEngine& action);
-  void Carry(const serving::TellCrashes& action);
+  void Carry(const serving::ProbeEngine& action);
+  void Carry(const serving::ReportCrashes& action);
   void Carry(const serving::SendLimitMessages& action);
   void Carry(const serving::LogDecision& action);
 
@@ -92,7 +92,7 @@
   void OnBody(serving::AttemptId id, std::string_view bytes);
   void OnComplete(serving::AttemptId id);
   void OnFailure(serving::AttemptId id, http::CallFailure failure);
-  void RelayEvents(serving::AttemptId id, LiveAttempt& attempt, std::string_view bytes);
+  void RelayEvents(serving::AttemptId id, ActiveAttempt& attempt, std::string_view bytes);
   void EndFlow(serving::FlowId id, int status);
   void ArmTimer();
   void ScheduleFlush();
@@ -110,8 +110,8 @@
   std::optional<Time> timer_at_;
   BootTimer flush_timer_;
   bool flush_scheduled_ = false;
-  std::map<serving::FlowId, LiveFlow> flows_;
-  std::map<serving::AttemptId, LiveAttempt> attempts_;
+  std::map<serving::FlowId, ActiveFlow> flows_;
+  std::map<serving::AttemptId, ActiveAttempt> attempts_;
   std::map<std::uint64_t, std::unique_ptr<http::Call>> releases_;
   std::uint64_t last_release_ = 0;
   serving::FlowId last_flow_ = 0;
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -34,13 +34,13 @@
                       .Help("Of tenants' limits: units admitted and refused through this node, and the levels it keeps")
                       .Labels(labels)
                       .Register(*registry_);
-  broken_off_ = &counter("saltquay_streams_broken_off_total", "Streams ended before their last event")->Add({});
+  aborted_streams_ = &counter("saltquay_streams_broken_off_total", "Streams ended before their last event")->Add({});
   engine_ends_ =
       &counter("saltquay_engine_ends_total", "Engines whose process ended with requests of this node")->Add({});
-  answer_seconds_ = histogram("saltquay_answer_seconds", "From a request's arrival to its whole answer");
+  response_seconds_ = histogram("saltquay_answer_seconds", "From a request's arrival to its whole answer");
   first_event_seconds_ = histogram("saltquay_first_event_seconds", "From a request's arrival to its first event");
   store_seconds_ = histogram("saltquay_store_call_seconds", "Calls to the store, watches aside");
-  knowledge_age_seconds_ =
+  digest_age_seconds_ =
       histogram("saltquay_knowledge_age_seconds", "Mean age of the parts of the fleet's digest when it was taken over");
   RegisterGauges(labels);
 }
@@ -77,9 +77,9 @@
 
 void GatewayMetrics::SetTraffic(const TrafficMeter& traffic) {
   for (std::size_t kind = 0; kind < kTrafficKinds; ++kind) {
-    for (std::size_t reach = 0; reach < kTrafficReaches; ++reach) {
+    for (std::size_t reach = 0; reach < kTrafficLocalities; ++reach) {
       const auto typed_kind = static_cast<TrafficKind>(kind);
-      const auto typed_reach = static_cast<TrafficReach>(reach);
+      const auto typed_reach = static_cast<TrafficLocality>(reach);
       const auto bytes = static_cast<double>(traffic.bytes(typed_kind, typed_reach));
       if (bytes == 0) continue;
       prometheus::Counter& counter =
@@ -96,7 +96,7 @@
   log_dropped_->Set(log_dropped);
 }
 
-void GatewayMetrics::SetCrashes(double in_quarantine, double remembered) {
+void GatewayMetrics::SetQuarantineCounts(double in_quarantine, double remembered) {
   quarantined_->Set(in_quarantine);
   crash_entries_->Set(remembered);
 }
@@ -123,7 +123,7 @@
   for (const limits::LimitStatus& limit : limits) {
     set(limit.tenant, "admitted", static_cast<double>(limit.admitted));
     set(limit.tenant, "refused", static_cast<double>(limit.refused));
-    if (limit.is_home) set(limit.tenant, "level", limit.level);
+    if (limit.is_owner) set(limit.tenant, "level", limit.level);
   }
 }
 
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -23,17 +23,17 @@
   void CountAttempt(const std::string& mode, const std::string& outcome);
   // A call that counts against the service's retry budget, and why it does.
   void CountExtraArrival(const std::string& service, const std::string& cause);
-  void CountBrokenOff() { broken_off_->Increment(); }
+  void CountAbortedStream() { aborted_streams_->Increment(); }
   // `call`: list, watch, read or write; `cause`: why this node asked.
   void CountStoreCall(const std::string& kind, const std::string& call, const std::string& cause);
-  void ObserveAnswer(double seconds) { answer_seconds_->Observe(seconds); }
+  void ObserveResponse(double seconds) { response_seconds_->Observe(seconds); }
   void ObserveFirstEvent(double seconds) { first_event_seconds_->Observe(seconds); }
   // How old the parts of a digest were, on average, when this node took it over.
-  void ObserveKnowledgeAge(double seconds) { knowledge_age_seconds_->Observe(seconds); }
+  void ObserveDigestAge(double seconds) { digest_age_seconds_->Observe(seconds); }
   void ObserveStoreCall(double seconds) { store_seconds_->Observe(seconds); }
   void SetState(double config_version, double engines, double open_requests, double log_dropped);
   // Requests that are kept from engines now, and requests remembered because engines ended under them.
-  void SetCrashes(double in_quarantine, double remembered);
+  void SetQuarantineCounts(double in_quarantine, double remembered);
   void CountEngineEnd() { engine_ends_->Increment(); }
   // Takes over what was counted so far.
   void SetTraffic(const TrafficMeter& traffic);
@@ -57,11 +57,11 @@
   prometheus::Family<prometheus::Counter>* traffic_;
   prometheus::Family<prometheus::Gauge>* limit_units_;
   std::vector<prometheus::Gauge*> limit_series_;  // Of the last call.
-  prometheus::Counter* broken_off_;
+  prometheus::Counter* aborted_streams_;
   prometheus::Counter* engine_ends_;
-  prometheus::Histogram* answer_seconds_;
+  prometheus::Histogram* response_seconds_;
   prometheus::Histogram* first_event_seconds_;
-  prometheus::Histogram* knowledge_age_seconds_;
+  prometheus::Histogram* digest_age_seconds_;
   prometheus::Histogram* store_seconds_;
   prometheus::Gauge* config_version_;
   prometheus::Gauge* engines_;
--- a/src/gateway/gateway_process.cc
+++ b/src/gateway/gateway_process.cc
@@ -31,12 +31,12 @@
 replica::RelayedStoreOptions RelayOptions(const GatewaySettings& settings) {
   replica::RelayedStoreOptions options;
   options.self = {settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps, false};
-  options.regions = settings.knobs.regions;
+  options.regions = settings.parameters.regions;
   if (!settings.peer_listen.empty()) options.seeds = settings.peer_seeds;
   // Nobody calls yet when the whole system starts for the first time: nodes get to know each other before they list.
   // A node that comes back is missed, and lists at once.
   constexpr std::chrono::milliseconds kFirstStartWait{1000};
-  if (settings.first_start && !settings.peer_listen.empty()) options.peers_wait = kFirstStartWait;
+  if (settings.first_start && !settings.peer_listen.empty()) options.startup_peer_wait = kFirstStartWait;
   return options;
 }
 
@@ -46,7 +46,7 @@
   exchange->Respond(head, body);
 }
 
-http::ServerLimits ToServerLimits(const serving::IngressLimits& limits) {
+http::ServerLimits ServerLimitsFor(const serving::IngressLimits& limits) {
   // A caller may begin a request just inside the published time.
   constexpr std::chrono::milliseconds kMargin{500};
   http::ServerLimits server;
@@ -60,17 +60,17 @@
 }  // namespace
 
 GatewayProcess::GatewayProcess(boost::asio::io_context& loop, const GatewaySettings& settings,
-                               std::string settings_path, const EngineProtocol& protocol, RecordCodec codec,
+                               std::string settings_path, const EngineProtocol& protocol, RecordParsers codec,
                                ObjectStore& store, DutyApi* duty_api)
     : loop_(loop),
       settings_(settings),
       settings_path_(std::move(settings_path)),
-      codec_(std::move(codec)),
+      parsers_(std::move(codec)),
       store_(loop, store, RelayOptions(settings)),
       relay_(loop, store_),
       log_(LogOptions(settings)),
       gateway_(loop, settings, protocol, log_, RandomSeed()),
-      coordination_(loop, settings, protocol, gateway_, store_, duty_api, RandomSeed()),
+      coordinator_(loop, settings, protocol, gateway_, store_, duty_api, RandomSeed()),
       signals_(loop, SIGTERM, SIGINT, SIGHUP),
       stop_timer_(loop) {}
 
@@ -89,7 +89,7 @@
                            settings_.store_address));
   WaitForSignal();
   WatchStore();
-  return coordination_.Start();
+  return coordinator_.Start();
 }
 
 absl::Status GatewayProcess::Listen() {
@@ -101,32 +101,32 @@
     return absl::OkStatus();
   };
   absl::Status status = listen(
-      settings_.client_listen, [this](const std::shared_ptr<http::Exchange>& exchange) { TakeRequest(exchange); },
-      client_server_);
+      settings_.client_listen,
+      [this](const std::shared_ptr<http::Exchange>& exchange) { HandleClientRequest(exchange); }, client_server_);
   if (!status.ok()) return status;
   status = listen(
-      settings_.ready_listen, [this](const std::shared_ptr<http::Exchange>& exchange) { AnswerReady(exchange); },
+      settings_.ready_listen, [this](const std::shared_ptr<http::Exchange>& exchange) { HandleReadyRequest(exchange); },
       ready_server_);
   if (status.ok() && !settings_.peer_listen.empty()) status = relay_.listen(settings_.peer_listen);
   if (!status.ok() || settings_.metrics_listen.empty()) return status;
   return listen(
-      settings_.metrics_listen, [this](const std::shared_ptr<http::Exchange>& exchange) { AnswerMetrics(exchange); },
-      metrics_server_);
+      settings_.metrics_listen,
+      [this](const std::shared_ptr<http::Exchange>& exchange) { HandleMetricsRequest(exchange); }, metrics_server_);
 }
 
 void GatewayProcess::WatchStore() {
-  store_.on_change = [this](const std::string& kind) { relay_.on_change(kind); };
-  store_.on_upstream = [this](const std::string& kind, const std::string& node, const std::string& cause) {
+  store_.on_record_update = [this](const std::string& kind) { relay_.on_record_update(kind); };
+  store_.on_upstream_change = [this](const std::string& kind, const std::string& node, const std::string& cause) {
     gateway_.Log(EventId::kRecordUpstream, "",
                  fmt::format(R"("kind":"{}","node":"{}","cause":"{}")", kind, EscapeJson(node), EscapeJson(cause)));
   };
-  store_.on_freshness = [this](const std::string& kind, const replica::RecordState& state) {
-    OnFreshness(kind, state);
+  store_.on_freshness_change = [this](const std::string& kind, const replica::ReplicaStatus& state) {
+    OnFreshnessChanged(kind, state);
   };
   store_.on_store_call = [this](const std::string& kind, std::string_view call, std::string_view cause) {
     gateway_.metrics().CountStoreCall(kind, std::string(call), std::string(cause));
   };
-  store_.on_peer_answer = [this](const serving::PeerNode& peer, std::size_t bytes) {
+  store_.on_peer_response = [this](const serving::PeerNode& peer, std::size_t bytes) {
     gateway_.traffic().Count(TrafficKind::kRecords, peer.zone, bytes);
   };
   WatcherHandlers config;
@@ -136,53 +136,53 @@
   config.on_event = [this](const ObjectEvent& event) {
     if (!event.gone) OnConfigObject(event.object);
   };
-  config.on_contact = [this](bool in_contact, const std::string& cause) {
-    OnContact(codec_.config_kind, in_contact, cause);
+  config.on_connectivity_changed = [this](bool in_contact, const std::string& cause) {
+    OnConnectivityChanged(parsers_.config_kind, in_contact, cause);
   };
   WatcherHandlers engines;
   engines.on_list = [this](const ObjectList& list) { OnEngineList(list); };
   engines.on_event = [this](const ObjectEvent& event) { OnEngineEvent(event); };
-  engines.on_contact = [this](bool in_contact, const std::string& cause) {
-    OnContact(codec_.engine_kind, in_contact, cause);
+  engines.on_connectivity_changed = [this](bool in_contact, const std::string& cause) {
+    OnConnectivityChanged(parsers_.engine_kind, in_contact, cause);
   };
-  config_watcher_ = std::make_unique<CollectionWatcher>(loop_, store_, codec_.config_kind, WatcherTimes{}, RandomSeed(),
-                                                        std::move(config));
-  engine_watcher_ = std::make_unique<CollectionWatcher>(loop_, store_, codec_.engine_kind, WatcherTimes{}, RandomSeed(),
-                                                        std::move(engines));
+  config_watcher_ = std::make_unique<CollectionWatcher>(loop_, store_, parsers_.config_kind, WatcherTimings{},
+                                                        RandomSeed(), std::move(config));
+  engine_watcher_ = std::make_unique<CollectionWatcher>(loop_, store_, parsers_.engine_kind, WatcherTimings{},
+                                                        RandomSeed(), std::move(engines));
   config_watcher_->Start();
   engine_watcher_->Start();
 }
 
 void GatewayProcess::OnConfigObject(const StoredObject& object) {
-  if (object.name != codec_.config_name) return;
-  absl::StatusOr<serving::ServingConfig> config = codec_.parse_config(object);
+  if (object.name != parsers_.config_name) return;
+  absl::StatusOr<serving::ServingConfig> config = parsers_.parse_config(object);
   if (!config.ok()) {
     gateway_.Log(EventId::kConfigRefused, "",
                  fmt::format(R"("revision":{},"cause":"{}")", object.revision, EscapeJson(MessageOf(config.status()))));
     return;
   }
-  if (client_server_ != nullptr) client_server_->set_limits(ToServerLimits(config->limits));
+  if (client_server_ != nullptr) client_server_->set_limits(ServerLimitsFor(config->limits));
   gateway_.Dispatch(serving::ConfigurationChanged{std::move(*config)});
 }
 
 void GatewayProcess::OnEngineList(const ObjectList& list) {
   serving::EnginesReplaced replaced;
   for (const StoredObject& object : list.items) {
-    if (std::optional<serving::EngineRecord> record = ReadEngine(object)) replaced.records.push_back(*record);
+    if (std::optional<serving::EngineRecord> record = ParseEngineRecord(object)) replaced.records.push_back(*record);
   }
   gateway_.Dispatch(replaced);
 }
 
 void GatewayProcess::OnEngineEvent(const ObjectEvent& event) {
   std::optional<serving::EngineRecord> record;
-  if (!event.gone) record = ReadEngine(event.object);
+  if (!event.gone) record = ParseEngineRecord(event.object);
   // What cannot be read names no engine to use; the next record that can brings it back.
   if (!record) return gateway_.Dispatch(serving::EngineRemoved{event.object.name});
   gateway_.Dispatch(serving::EngineChanged{*record});
 }
 
-std::optional<serving::EngineRecord> GatewayProcess::ReadEngine(const StoredObject& object) {
-  absl::StatusOr<serving::EngineRecord> record = codec_.parse_engine(object);
+std::optional<serving::EngineRecord> GatewayProcess::ParseEngineRecord(const StoredObject& object) {
+  absl::StatusOr<serving::EngineRecord> record = parsers_.parse_engine(object);
   if (record.ok()) return std::move(*record);
   gateway_.Log(EventId::kEngineRecordRefused, "",
                fmt::format(R"("engine":"{}","revision":{},"cause":"{}")", EscapeJson(object.name), object.revision,
@@ -190,22 +190,22 @@
   return std::nullopt;
 }
 
-void GatewayProcess::OnContact(const std::string& kind, bool in_contact, const std::string& cause) {
+void GatewayProcess::OnConnectivityChanged(const std::string& kind, bool in_contact, const std::string& cause) {
   gateway_.Log(in_contact ? EventId::kStoreRecovered : EventId::kStoreUnavailable, "",
                fmt::format(R"("kind":"{}","cause":"{}")", kind, EscapeJson(cause)));
 }
 
 // Whether the store is heard is told by what is known, not by an answer: a peer's may be old.
-void GatewayProcess::OnFreshness(const std::string& kind, const replica::RecordState& state) {
+void GatewayProcess::OnFreshnessChanged(const std::string& kind, const replica::ReplicaStatus& state) {
   gateway_.Log(state.fresh ? EventId::kRecordsFresh : EventId::kRecordsStale, "",
                fmt::format(R"("kind":"{}","age_ms":{},"revision":{},"upstream":"{}")", kind, state.age.count() / 1000,
                            state.revision, EscapeJson(state.upstream.empty() ? "store" : state.upstream)));
-  if (kind != codec_.config_kind) return;
-  gateway_.Dispatch(serving::StoreContactChanged{state.fresh});
-  coordination_.set_store_contact(state.fresh);
+  if (kind != parsers_.config_kind) return;
+  gateway_.Dispatch(serving::StoreConnectivityChanged{state.fresh});
+  coordinator_.set_store_connected(state.fresh);
 }
 
-void GatewayProcess::AnswerReady(const std::shared_ptr<http::Exchange>& exchange) {
+void GatewayProcess::HandleReadyRequest(const std::shared_ptr<http::Exchange>& exchange) {
   const bool ready = gateway_.core().ready() && !stopping_;
   if (ready != was_ready_) {
     was_ready_ = ready;
@@ -214,14 +214,14 @@
   Answer(exchange, ready ? kOk : kUnavailable, ready ? "ready\n" : "not ready\n");
 }
 
-void GatewayProcess::AnswerMetrics(const std::shared_ptr<http::Exchange>& exchange) {
+void GatewayProcess::HandleMetricsRequest(const std::shared_ptr<http::Exchange>& exchange) {
   if (http::PathOf(exchange->head.target) != "/metrics") return Answer(exchange, kNotFound, "see /metrics\n");
   gateway_.metrics().SetState(static_cast<double>(gateway_.core().version()),
                               static_cast<double>(gateway_.core().engines().all().size()),
                               static_cast<double>(gateway_.open_requests()), static_cast<double>(log_.dropped()));
   const serving::CrashLedger& crashes = gateway_.core().crashes();
-  gateway_.metrics().SetCrashes(static_cast<double>(crashes.InQuarantine(gateway_.Now())),
-                                static_cast<double>(crashes.size()));
+  gateway_.metrics().SetQuarantineCounts(static_cast<double>(crashes.QuarantinedCount(gateway_.Now())),
+                                         static_cast<double>(crashes.size()));
   gateway_.metrics().SetLimits(gateway_.core().LimitStatus(gateway_.Now()));
   gateway_.metrics().SetTraffic(gateway_.traffic());
   http::ResponseHead head;
@@ -236,7 +236,7 @@
     if (signal_number == SIGHUP) {
       Reload();
     } else if (!stopping_) {
-      BeginStop();
+      StartStopping();
     }
     WaitForSignal();
   });
@@ -257,12 +257,12 @@
                fmt::format(R"("in_force":"grace","needs_restart":{})", restart ? "true" : "false"));
 }
 
-void GatewayProcess::BeginStop() {
+void GatewayProcess::StartStopping() {
   stopping_ = true;
   stop_began_ = BootClock::now();
   gateway_.Log(EventId::kNodeStopping, "", fmt::format(R"("open_requests":{})", gateway_.open_requests()));
   client_server_->StartClosing();
-  coordination_.BeginStop();
+  coordinator_.StartStopping();
   ContinueStop();
 }
 
@@ -271,9 +271,9 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(elapsed);
 }
 
-void GatewayProcess::TakeRequest(const std::shared_ptr<http::Exchange>& exchange) {
+void GatewayProcess::HandleClientRequest(const std::shared_ptr<http::Exchange>& exchange) {
   if (!stopping_ || StopSchedule(settings_.grace).Serves(SinceStop())) return gateway_.Handle(exchange);
-  gateway_.RefuseUnread(exchange, "this node stops", kComeBackAfterStop);
+  gateway_.RefuseUndispatched(exchange, "this node stops", kComeBackAfterStop);
 }
 
 void GatewayProcess::ContinueStop() {
--- a/src/gateway/gateway_process.h
+++ b/src/gateway/gateway_process.h
@@ -18,14 +18,14 @@
 #include "saltquay/replica/relay_server.h"
 #include "saltquay/replica/relayed_store.h"
 #include "src/gateway/collection_watcher.h"
-#include "src/gateway/coordination.h"
+#include "src/gateway/fleet_coordinator.h"
 #include "src/gateway/gateway.h"
 #include "src/gateway/stop_schedule.h"
 
 namespace saltquay::gateway {
 
 // Turns the platform's objects into the product's types.
-struct RecordCodec {
+struct RecordParsers {
   std::string config_kind;
   std::string config_name;
   std::string engine_kind;
@@ -37,7 +37,7 @@
  public:
   // `settings_path` is read again on SIGHUP; empty: never. `duty_api`: nullptr where the platform asks for no duties.
   GatewayProcess(boost::asio::io_context& loop, const GatewaySettings& settings, std::string settings_path,
-                 const EngineProtocol& protocol, RecordCodec codec, ObjectStore& store, DutyApi* duty_api = nullptr);
+                 const EngineProtocol& protocol, RecordParsers codec, ObjectStore& store, DutyApi* duty_api = nullptr);
   ~GatewayProcess();
 
   // Binds the addresses and starts watching. Errors name the remedy.
@@ -54,28 +54,28 @@
   void OnEngineList(const ObjectList& list);
   void OnEngineEvent(const ObjectEvent& event);
   // Nothing where the record cannot be read, which is logged.
-  std::optional<serving::EngineRecord> ReadEngine(const StoredObject& object);
-  void OnFreshness(const std::string& kind, const replica::RecordState& state);
-  void OnContact(const std::string& kind, bool in_contact, const std::string& cause);
+  std::optional<serving::EngineRecord> ParseEngineRecord(const StoredObject& object);
+  void OnFreshnessChanged(const std::string& kind, const replica::ReplicaStatus& state);
+  void OnConnectivityChanged(const std::string& kind, bool in_contact, const std::string& cause);
   void WaitForSignal();
   void Reload();
-  void BeginStop();
+  void StartStopping();
   void ContinueStop();
   std::chrono::milliseconds SinceStop() const;
   // Serves a client's request, or refuses it where this process may end before it.
-  void TakeRequest(const std::shared_ptr<http::Exchange>& exchange);
-  void AnswerReady(const std::shared_ptr<http::Exchange>& exchange);
-  void AnswerMetrics(const std::shared_ptr<http::Exchange>& exchange);
+  void HandleClientRequest(const std::shared_ptr<http::Exchange>& exchange);
+  void HandleReadyRequest(const std::shared_ptr<http::Exchange>& exchange);
+  void HandleMetricsRequest(const std::shared_ptr<http::Exchange>& exchange);
 
   boost::asio::io_context& loop_;
   GatewaySettings settings_;
   std::string settings_path_;
-  RecordCodec codec_;
+  RecordParsers parsers_;
   replica::RelayedStore store_;
   replica::RelayServer relay_;
   LogStream log_;
   Gateway gateway_;
-  Coordination coordination_;
+  FleetCoordinator coordinator_;
   std::unique_ptr<http::Server> client_server_;
   std::unique_ptr<http::Server> ready_server_;
   std::unique_ptr<http::Server> metrics_server_;
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -37,31 +37,32 @@
   return serving::SelectionPolicy::kCost;
 }
 
-admission::OrderPolicy ReadOrder(ConfigReader& table) {
+admission::QueuePolicy ReadOrder(ConfigReader& table) {
   const std::string text = table.String("reading_order", "worth");
-  if (text == "none") return admission::OrderPolicy::None;
-  if (text == "first_come") return admission::OrderPolicy::FirstCome;
+  if (text == "none") return admission::QueuePolicy::None;
+  if (text == "first_come") return admission::QueuePolicy::FirstComeFirstServed;
   if (text != "worth") {
     table.Fail("reading_order", "is '" + text + "'", R"(write "worth", "first_come" or "none")");
   }
-  return admission::OrderPolicy::Worth;
+  return admission::QueuePolicy::ValuePerCost;
 }
 
 void ReadPolicies(ConfigReader& policy, GatewaySettings& settings) {
-  settings.knobs.policy = ReadPolicy(policy);
+  settings.parameters.policy = ReadPolicy(policy);
   settings.changes_roles = policy.Boolean("change_roles", true);
-  settings.knobs.reading_order = ReadOrder(policy);
-  settings.knobs.refuses_excess = policy.Boolean("refuse_excess", true);
-  settings.knobs.overflows = policy.Boolean("overflow", true);
-  settings.knobs.copies_parts = policy.Boolean("copy_parts", true);
-  settings.knobs.guesses_unseen = policy.Boolean("guess_unseen", true);
-  serving::CrashLedgerKnobs& crashes = settings.knobs.crashes;
-  crashes.most_ends = static_cast<int>(policy.Integer("quarantine_ends", 1, 1000, crashes.most_ends));
+  settings.parameters.prefill_order = ReadOrder(policy);
+  settings.parameters.sheds_load = policy.Boolean("refuse_excess", true);
+  settings.parameters.allows_overflow = policy.Boolean("overflow", true);
+  settings.parameters.copies_prefix_parts = policy.Boolean("copy_parts", true);
+  settings.parameters.estimates_unreported_work = policy.Boolean("guess_unseen", true);
+  serving::CrashLedgerParameters& crashes = settings.parameters.crashes;
+  crashes.quarantine_threshold =
+      static_cast<int>(policy.Integer("quarantine_ends", 1, 1000, crashes.quarantine_threshold));
   crashes.quarantine = FromSeconds(policy.Number("quarantine_s", 0, 3600, ToSeconds(crashes.quarantine)));
   crashes.memory = std::max(crashes.memory, 2 * crashes.quarantine);
   settings.initial_prefill_share = policy.Number("initial_prefill_share", 0, 1, settings.initial_prefill_share);
-  settings.knobs.whole_prompt_tokens =
-      static_cast<int>(policy.Integer("whole_prompt_tokens", 0, 1000000, settings.knobs.whole_prompt_tokens));
+  settings.parameters.max_unsplit_prompt_tokens = static_cast<int>(
+      policy.Integer("whole_prompt_tokens", 0, 1000000, settings.parameters.max_unsplit_prompt_tokens));
 }
 
 void ReadBounds(ConfigReader& bounds, GatewaySettings& settings) {
@@ -70,7 +71,7 @@
   settings.grace = std::chrono::milliseconds(
       static_cast<std::int64_t>(bounds.Number("grace_s", 0, 3600, 8) * kMillisecondsPerSecond));
   settings.lease = ReadMilliseconds(bounds, "lease_ms", 3000);
-  serving::RetryBudgetBounds& budget = settings.knobs.retry_budget;
+  serving::RetryBudgetBounds& budget = settings.parameters.retry_budget;
   budget.ratio = bounds.Number("retry_budget_ratio", 0, 10, 0.2);
   budget.slack = bounds.Number("retry_budget_slack", 0, kMostSlack, 0);
   budget.window = FromSeconds(bounds.Number("retry_window_s", 0.1, 3600, 10));
@@ -106,11 +107,11 @@
 }
 
 void ReadCapacity(ConfigReader& table, GatewaySettings& settings) {
-  duties::CapacityKnobs& knobs = settings.capacity;
-  knobs.headroom = table.Number("headroom", 1, 100, knobs.headroom);
-  knobs.failing_share = table.Number("failing_share", 0, 0.9, knobs.failing_share);
-  knobs.ordinary_share = table.Number("ordinary_share", 0, 1, knobs.ordinary_share);
-  knobs.cold_factor = table.Number("cold_factor", 1, 10, knobs.cold_factor);
+  duties::CapacityPlannerParameters& parameters = settings.capacity;
+  parameters.headroom = table.Number("headroom", 1, 100, parameters.headroom);
+  parameters.failure_allowance = table.Number("failing_share", 0, 0.9, parameters.failure_allowance);
+  parameters.on_demand_share = table.Number("ordinary_share", 0, 1, parameters.on_demand_share);
+  parameters.cold_start_factor = table.Number("cold_factor", 1, 10, parameters.cold_start_factor);
   // Engines stay as they are, whatever the platform asks for.
   if (!table.Boolean("order_engines", true)) settings.duties.orders_engines = false;
 }
@@ -138,7 +139,7 @@
   ConfigReader bounds = root.Table("bounds");
   ReadBounds(bounds, settings);
   bounds.RejectUnreadKeys();
-  settings.knobs.regions = ReadRegions(root);
+  settings.parameters.regions = ReadRegions(root);
   ConfigReader duties = root.Table("duties");
   settings.duties = ReadDuties(duties);
   duties.RejectUnreadKeys();
--- a/src/gateway/gateway_settings.h
+++ b/src/gateway/gateway_settings.h
@@ -8,7 +8,7 @@
 #include "saltquay/duties/capacity_planner.h"
 #include "saltquay/limits/tenant_limit.h"
 #include "src/base/status.h"
-#include "src/core/serving/knobs.h"
+#include "src/core/serving/serving_parameters.h"
 
 namespace saltquay::gateway {
 
@@ -38,9 +38,9 @@
   double initial_prefill_share = 0.67;     // Of a service's engines, before demand is known.
   limits::LimitTolerance limit_tolerance;  // By how much all nodes together may pass tenants' limits.
   DutySettings duties;
-  duties::CapacityKnobs capacity;
+  duties::CapacityPlannerParameters capacity;
   int log_lines_per_second = 2000;
-  serving::ServingKnobs knobs;
+  serving::ServingParameters parameters;
 };
 
 // Every error names file, line, key and remedy.
--- a/src/gateway/duties.cc
+++ b/src/gateway/leader_duties.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/duties.h"
+#include "src/gateway/leader_duties.h"
 
 #include <algorithm>
 
@@ -38,16 +38,16 @@
   return "unknown";
 }
 
-duties::CapacityControllerKnobs CapacityKnobs(const GatewaySettings& settings) {
-  duties::CapacityControllerKnobs knobs;
-  knobs.planner = settings.capacity;
-  return knobs;
+duties::CapacityControllerParameters CapacityPlannerParameters(const GatewaySettings& settings) {
+  duties::CapacityControllerParameters parameters;
+  parameters.planner = settings.capacity;
+  return parameters;
 }
 
 }  // namespace
 
-Duties::Duties(const GatewaySettings& settings, Gateway& gateway, ObjectStore& store, DutyApi* api,
-               serving::DutyLease& lease, std::uint64_t boot)
+LeaderDuties::LeaderDuties(const GatewaySettings& settings, Gateway& gateway, ObjectStore& store, DutyApi* api,
+                           serving::DutyLease& lease, std::uint64_t boot)
     : settings_(settings),
       gateway_(gateway),
       store_(store),
@@ -57,28 +57,28 @@
       boot_(boot),
       windows_(settings.duties.report_window),
       counter_(windows_),
-      table_(duties::UsageTableKnobs{}, gateway.Now()),
-      reporter_(duties::UsageReporterKnobs{}, windows_),
-      capacity_(CapacityKnobs(settings)) {}
+      table_(duties::UsageAggregatorParameters{}, gateway.Now()),
+      reporter_(duties::UsageReporterParameters{}, windows_),
+      capacity_(CapacityPlannerParameters(settings)) {}
 
-void Duties::OnRunBegan(const serving::RunBegan& run) {
+void LeaderDuties::OnRunBegan(const serving::ExecutionStarted& run) {
   if (!any() || run.tenant.empty()) return;
   counter_.note(run.tenant, clock_.at(run.began), gateway_.Now());
 }
 
-void Duties::OnUsage(const serving::PeerReport& report) {
+void LeaderDuties::OnUsage(const serving::PeerReport& report) {
   table_.note(report, gateway_.Now());
   OnClock(report);
 }
 
-void Duties::OnClock(const serving::PeerReport& report) {
+void LeaderDuties::OnClock(const serving::PeerReport& report) {
   if (report.wall_ms > 0) {
-    clock_.note_peer(report.node, gateway_.Now(), duties::WallTime(std::chrono::milliseconds(report.wall_ms)));
+    clock_.record_peer_clock(report.node, gateway_.Now(), duties::WallTime(std::chrono::milliseconds(report.wall_ms)));
   }
 }
 
 // Who would take the lease next: the widest links first, the same order on all nodes that know the same ones.
-void Duties::Rank(const std::vector<serving::PeerNode>& members) {
+void LeaderDuties::Rank(const std::vector<serving::PeerNode>& members) {
   const std::vector<serving::RankedNode> ranked = serving::RankNodes(self_, members);
   const auto own =
       std::find_if(ranked.begin(), ranked.end(), [&](const serving::RankedNode& node) { return node.node == &self_; });
@@ -89,10 +89,10 @@
   next_holder_ = next == ranked.end() || next->node == &self_ ? "" : next->node->address;
 }
 
-void Duties::Tick(const std::vector<serving::PeerNode>& members,
-                  const std::map<std::string, serving::ServiceDemand>& demand, const SendMessages& send) {
+void LeaderDuties::Tick(const std::vector<serving::PeerNode>& members,
+                        const std::map<std::string, serving::ServiceDemand>& demand, const SendMessages& send) {
   const Time now = gateway_.Now();
-  clock_.note_own(now, duties::WallTime(std::chrono::milliseconds(UnixMilliseconds())));
+  clock_.record_own_clock(now, duties::WallTime(std::chrono::milliseconds(UnixMilliseconds())));
   if (!any()) return;
   Rank(members);
   const std::int64_t window = windows_.number_at(clock_.at(now));
@@ -100,18 +100,20 @@
   counter_.forget_before(window - kKeptWindows);
   table_.forget(now, window - kKeptWindows);
   if (settings_.duties.reports_usage) {
-    TellUsage(send);
-    StepUsage();
+    SendUsageCounts(send);
+    RunUsageReporter();
   }
-  if (settings_.duties.orders_engines) StepCapacity(demand);
-  gateway_.metrics().SetDuties(static_cast<double>(reporter_.sealed_through().value_or(0)),
-                               static_cast<double>(reporter_.unsent()),
-                               ToSeconds(std::chrono::duration_cast<Duration>(clock_.own_error(now))));
+  if (settings_.duties.orders_engines) RunCapacityController(demand);
+  gateway_.metrics().SetDuties(static_cast<double>(reporter_.last_sealed_window().value_or(0)),
+                               static_cast<double>(reporter_.unacknowledged_reports()),
+                               ToSeconds(std::chrono::duration_cast<Duration>(clock_.own_clock_error(now))));
 }
 
-std::int64_t Duties::ClosedThrough() const { return windows_.number_at(clock_.at(gateway_.Now()) - kStragglers) - 1; }
+std::int64_t LeaderDuties::ClosedThrough() const {
+  return windows_.number_at(clock_.at(gateway_.Now()) - kStragglers) - 1;
+}
 
-std::vector<serving::PeerReport> Duties::OwnUsage(const std::vector<duties::UsageCount>& counts) const {
+std::vector<serving::PeerReport> LeaderDuties::LocalUsageReports(const std::vector<duties::UsageCount>& counts) const {
   std::vector<serving::PeerReport> reports;
   serving::PeerReport report;
   report.scope = serving::ReportScope::kUsage;
@@ -133,7 +135,7 @@
 }
 
 // The holder, and the first node that would take its place.
-std::vector<std::string> Duties::Receivers() const {
+std::vector<std::string> LeaderDuties::UsageReceivers() const {
   std::vector<std::string> addresses;
   const std::string holder = lease_.known().address;
   if (!holder.empty() && holder != settings_.peer_listen) addresses.push_back(holder);
@@ -141,22 +143,23 @@
   return addresses;
 }
 
-void Duties::TellUsage(const SendMessages& send) {
+void LeaderDuties::SendUsageCounts(const SendMessages& send) {
   const Time now = gateway_.Now();
   const std::string holder = lease_.known().address;
-  const bool new_holder = !holder.empty() && holder != told_holder_;
+  const bool new_holder = !holder.empty() && holder != last_synced_holder_;
   const bool full = new_holder || now >= next_full_;
   if (full) next_full_ = now + kFullInterval;
-  const std::vector<duties::UsageCount> counts = full ? counter_.all() : counter_.changed_since(now - kChangeTold);
+  const std::vector<duties::UsageCount> counts =
+      full ? counter_.all() : counter_.counts_changed_since(now - kChangeTold);
   if (counts.empty() && !full) return;
   std::vector<serving::FleetMessage> messages;
-  const std::vector<std::string> receivers = Receivers();
-  for (serving::PeerReport& report : OwnUsage(counts)) {
+  const std::vector<std::string> receivers = UsageReceivers();
+  for (serving::PeerReport& report : LocalUsageReports(counts)) {
     table_.note(report, now);
     messages.push_back({receivers, std::move(report)});
   }
   if (new_holder) {
-    told_holder_ = holder;
+    last_synced_holder_ = holder;
     // What this node heard of others may be all that is left of nodes that were killed.
     if (holder != settings_.peer_listen) {
       for (serving::PeerReport& report : table_.contributions(settings_.node_name, kCountsInMessage)) {
@@ -167,12 +170,12 @@
   send(messages);
 }
 
-void Duties::StepUsage() {
+void LeaderDuties::RunUsageReporter() {
   const Time now = gateway_.Now();
-  const bool holds = lease_.MayOrder(now, kCallTime);
-  const bool leads = lease_.MayOrder(now);
+  const bool holds = lease_.IsHeldFor(now, kCallTime);
+  const bool leads = lease_.IsHeldFor(now);
   // Until it was the holder, only some nodes told it what they counted.
-  if (leads && !held_) table_.begin_round(now);
+  if (leads && !held_) table_.restart_collection(now);
   held_ = leads;
   duties::UsageActions actions;
   reporter_.step(now, clock_.at(now), holds, lease_.token(), first_window_, table_, actions);
@@ -181,23 +184,23 @@
   }
 }
 
-void Duties::StepCapacity(const std::map<std::string, serving::ServiceDemand>& demand) {
+void LeaderDuties::RunCapacityController(const std::map<std::string, serving::ServiceDemand>& demand) {
   const std::optional<serving::ServingConfig>& config = gateway_.core().config();
   if (!config || !gateway_.core().ready()) return;
   std::vector<duties::CapacityAction> actions;
-  capacity_.step(gateway_.Now(), lease_.MayOrder(gateway_.Now(), kCallTime), lease_.token(), *config, demand,
+  capacity_.step(gateway_.Now(), lease_.IsHeldFor(gateway_.Now(), kCallTime), lease_.token(), *config, demand,
                  gateway_.core().engines(), actions);
   for (const duties::CapacityAction& action : actions) {
     std::visit([this](const auto& typed) { Carry(typed); }, action);
   }
 }
 
-void Duties::LogStoreFailure(std::string_view call, const absl::Status& cause) {
+void LeaderDuties::LogStoreFailure(std::string_view call, const absl::Status& cause) {
   gateway_.Log(EventId::kUsageStoreFailed, "",
                fmt::format(R"("call":"{}","cause":"{}")", call, EscapeJson(MessageOf(cause))));
 }
 
-void Duties::Carry(const duties::ReadSealedUsage& /*action*/) {
+void LeaderDuties::Carry(const duties::ReadSealedUsage& /*action*/) {
   store_.Read(std::string(kUsageKind), std::string(kUsageName), [this](const absl::StatusOr<StoredObject>& object) {
     const Time now = gateway_.Now();
     if (absl::IsNotFound(object.status())) return reporter_.on_read(now, duties::SealedUsage{});
@@ -209,7 +212,7 @@
   });
 }
 
-void Duties::Carry(const duties::WriteSealedUsage& action) {
+void LeaderDuties::Carry(const duties::WriteSealedUsage& action) {
   const StoredObject object{std::string(kUsageName), action.object.revision, EncodeSealedUsage(action.object)};
   store_.Write(std::string(kUsageKind), object, [this](const absl::StatusOr<StoredObject>& written) {
     const Time now = gateway_.Now();
@@ -219,36 +222,36 @@
   });
 }
 
-void Duties::Carry(const duties::SendUsageReport& action) {
+void LeaderDuties::Carry(const duties::SendUsageReport& action) {
   const std::int64_t token = lease_.token();
   api_->ReportUsage(Holder(), action.report, [this, token, window = action.report.window](duties::DutyOutcome outcome) {
     gateway_.Log(EventId::kUsageReported, "",
                  fmt::format(R"("window":{},"token":{},"outcome":"{}")", window, token, OutcomeName(outcome)));
-    NoteOutcome(outcome);
+    HandleOutcome(outcome);
     reporter_.on_sent(gateway_.Now(), window, outcome);
   });
 }
 
-void Duties::Carry(const duties::LogUsage& action) {
+void LeaderDuties::Carry(const duties::LogUsage& action) {
   gateway_.Log(
       action.event, "",
       fmt::format(R"("window":{},"requests":{},"tenants":{},"lives":{},"complete":{},"cause":"{}")", action.window,
-                  action.requests, action.tenants, table_.lives(), action.complete, action.cause));
+                  action.requests, action.tenants, table_.incarnation_count(), action.complete, action.cause));
 }
 
-void Duties::Carry(const duties::EngineOrder& order) {
+void LeaderDuties::Carry(const duties::ScalingOrder& order) {
   api_->OrderEngines(Holder(), order, [this, order, token = lease_.token()](duties::DutyOutcome outcome) {
     gateway_.Log(EventId::kEnginesOrdered, "",
                  fmt::format(R"("service":"{}","zone":"{}","engines":{},"spot":{},"token":{},"outcome":"{}")",
                              order.service, order.zone, order.engines, order.spot, token, OutcomeName(outcome)));
-    NoteOutcome(outcome);
-    capacity_.on_ordered(gateway_.Now(), order, outcome);
+    HandleOutcome(outcome);
+    capacity_.on_order_completed(gateway_.Now(), order, outcome);
   });
 }
 
-void Duties::Carry(const duties::LogCapacity& action) { gateway_.Log(action.event, "", action.details); }
+void LeaderDuties::Carry(const duties::LogCapacity& action) { gateway_.Log(action.event, "", action.details); }
 
-void Duties::NoteOutcome(duties::DutyOutcome outcome) {
+void LeaderDuties::HandleOutcome(duties::DutyOutcome outcome) {
   if (outcome == duties::DutyOutcome::Fenced) lease_.OnFenced();
 }
 
--- a/src/gateway/lease_client.cc
+++ b/src/gateway/lease_client.cc
@@ -62,12 +62,12 @@
   });
 }
 
-void LeaseClient::GiveUp(const std::function<void()>& done) {
-  const std::optional<serving::LeaseRecord> record = lease_.GiveUp();
+void LeaseClient::Resign(const std::function<void()>& done) {
+  const std::optional<serving::LeaseRecord> record = lease_.Resign();
   if (!record) return;
   const StoredObject object{std::string(kLeaseName), record->revision, EncodeLease(*record)};
   store_.Write(std::string(kLeaseKind), object, [this, done](const absl::StatusOr<StoredObject>& written) {
-    if (written.ok()) lease_.OnGivenUp(written->revision, gateway_.Now());
+    if (written.ok()) lease_.OnResigned(written->revision, gateway_.Now());
     const std::string cause = written.ok() ? "given up" : MessageOf(written.status());
     gateway_.Log(EventId::kLeaseLost, "", fmt::format(R"("cause":"{}","settled":true)", EscapeJson(cause)));
     done();
--- a/src/gateway/lease_client.h
+++ b/src/gateway/lease_client.h
@@ -17,7 +17,7 @@
   // Takes the next step, so that this node may act for `needed`. `rank`: see DutyLease::Next.
   void Step(Duration needed, int rank);
   // This node stops: others need not wait for its lease to run out. `done` runs once it is known, also at once.
-  void GiveUp(const std::function<void()>& done);
+  void Resign(const std::function<void()>& done);
 
  private:
   void Read();
--- a/src/gateway/limit_codec.cc
+++ b/src/gateway/limit_codec.cc
@@ -13,7 +13,7 @@
 // A message as the wire's table holds it.
 struct Fields {
   Kind kind = Kind::kAsk;
-  limits::ChargeKey key;
+  limits::ChargeId key;
   std::uint64_t tenant = 0;
   std::uint64_t peer = 0;
   double amount = 0;
@@ -25,22 +25,22 @@
   int fleet = 0;
 };
 
-Fields ToFields(const limits::LimitAsk& ask) {
-  return {Kind::kAsk, ask.charge,   ask.tenant,   ask.silent_home, static_cast<double>(ask.cost),
-          0s,         ask.forwards, ask.declined, ask.reply_to};
+Fields ToFields(const limits::ChargeRequest& ask) {
+  return {Kind::kAsk,   ask.charge,   ask.tenant,  ask.unresponsive_owner, static_cast<double>(ask.cost), 0s,
+          ask.forwards, ask.declined, ask.reply_to};
 }
-Fields ToFields(const limits::LimitAnswer& answer) {
-  return {Kind::kAnswer, answer.charge, 0, 0, 0, answer.retry_after, 0, answer.admitted, answer.home};
+Fields ToFields(const limits::ChargeResponse& answer) {
+  return {Kind::kAnswer, answer.charge, 0, 0, 0, answer.retry_after, 0, answer.admitted, answer.owner};
 }
-Fields ToFields(const limits::LimitRefund& refund) {
+Fields ToFields(const limits::ChargeRefund& refund) {
   return {Kind::kRefund, refund.charge, refund.tenant, 0, 0, 0s, 0, false, ""};
 }
-Fields ToFields(const limits::HomeProbe& probe) {
+Fields ToFields(const limits::OwnerProbe& probe) {
   return {Kind::kProbe, {}, probe.about, probe.from,     0,
           0s,           0,  false,       probe.reply_to, static_cast<std::uint8_t>(probe.kind),
           probe.fleet};
 }
-Fields ToFields(const limits::BucketHandOver& message) {
+Fields ToFields(const limits::BucketHandoff& message) {
   return {Kind::kHandOver,
           message.key,
           message.tenant,
@@ -48,22 +48,22 @@
           message.level,
           0s,
           0,
-          message.settled,
+          message.established,
           "",
           static_cast<std::uint8_t>(message.declined),
           message.fleet};
 }
 
 std::optional<limits::LimitMessage> ProbeFromWire(const wire::LimitMessage& message, const std::string& text) {
-  using ProbeKind = limits::HomeProbe::Kind;
+  using ProbeKind = limits::OwnerProbe::Kind;
   if (message.step() > static_cast<std::uint8_t>(ProbeKind::RelayReply)) return std::nullopt;
-  return limits::HomeProbe{static_cast<ProbeKind>(message.step()), message.peer(), message.tenant(), text,
-                           message.fleet()};
+  return limits::OwnerProbe{static_cast<ProbeKind>(message.step()), message.peer(), message.tenant(), text,
+                            message.fleet()};
 }
 
 }  // namespace
 
-flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<wire::LimitMessage>>> LimitsToWire(
+flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<wire::LimitMessage>>> LimitMessagesToWire(
     flatbuffers::FlatBufferBuilder& builder, const std::vector<limits::LimitMessage>& messages) {
   if (messages.empty()) return 0;
   std::vector<flatbuffers::Offset<wire::LimitMessage>> offsets;
@@ -79,23 +79,23 @@
   return builder.CreateVector(offsets);
 }
 
-std::optional<limits::LimitMessage> LimitFromWire(const wire::LimitMessage& message) {
-  const limits::ChargeKey key{message.node(), message.number()};
+std::optional<limits::LimitMessage> LimitMessageFromWire(const wire::LimitMessage& message) {
+  const limits::ChargeId key{message.node(), message.number()};
   const std::string text = message.text() == nullptr ? "" : message.text()->str();
   switch (static_cast<Kind>(message.kind())) {
     case Kind::kAsk:
-      return limits::LimitAsk{key,           message.tenant(),   static_cast<std::int64_t>(message.amount()),
-                              text,          message.forwards(), message.peer(),
-                              message.flag()};
+      return limits::ChargeRequest{key,           message.tenant(),   static_cast<std::int64_t>(message.amount()),
+                                   text,          message.forwards(), message.peer(),
+                                   message.flag()};
     case Kind::kAnswer:
-      return limits::LimitAnswer{key, message.flag(), std::chrono::milliseconds(message.time_ms()), text};
+      return limits::ChargeResponse{key, message.flag(), std::chrono::milliseconds(message.time_ms()), text};
     case Kind::kRefund:
-      return limits::LimitRefund{key, message.tenant()};
+      return limits::ChargeRefund{key, message.tenant()};
     case Kind::kProbe:
       return ProbeFromWire(message, text);
     case Kind::kHandOver:
-      return limits::BucketHandOver{message.tenant(), message.peer(),     key, message.amount(), message.flag(),
-                                    message.fleet(),  message.step() != 0};
+      return limits::BucketHandoff{message.tenant(), message.peer(),     key, message.amount(), message.flag(),
+                                   message.fleet(),  message.step() != 0};
   }
   return std::nullopt;
 }
--- a/src/gateway/limit_codec.h
+++ b/src/gateway/limit_codec.h
@@ -9,10 +9,10 @@
 
 namespace saltquay::gateway {
 
-flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<wire::LimitMessage>>> LimitsToWire(
+flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<wire::LimitMessage>>> LimitMessagesToWire(
     flatbuffers::FlatBufferBuilder& builder, const std::vector<limits::LimitMessage>& messages);
 
 // Nothing: a kind that this version does not know.
-std::optional<limits::LimitMessage> LimitFromWire(const wire::LimitMessage& message);
+std::optional<limits::LimitMessage> LimitMessageFromWire(const wire::LimitMessage& message);
 
 }  // namespace saltquay::gateway
--- a/src/gateway/log_explainer.cc
+++ b/src/gateway/log_explainer.cc
@@ -35,7 +35,7 @@
     const bool event = members.is_object() && members.contains("time_ms") && members["time_ms"].is_number_integer() &&
                        members.contains("name") && members["name"].is_string();
     if (!event) {
-      if (!text.empty()) bad_lines_.push_back({source, number});
+      if (!text.empty()) unparsed_lines_.push_back({source, number});
       continue;
     }
     const auto word = [&](const char* key) {
--- a/src/gateway/log_explainer.h
+++ b/src/gateway/log_explainer.h
@@ -17,7 +17,7 @@
   std::string text;     // The whole line.
 };
 
-struct BadLine {
+struct UnparsedLine {
   std::string source;
   int number = 0;
 };
@@ -40,11 +40,11 @@
   // What became of the usage report of that window, and who held the duties' lease before it.
   std::vector<LogLine> UsageWindow(std::int64_t window) const;
 
-  const std::vector<BadLine>& bad_lines() const { return bad_lines_; }
+  const std::vector<UnparsedLine>& unparsed_lines() const { return unparsed_lines_; }
 
  private:
   std::vector<LogLine> lines_;
-  std::vector<BadLine> bad_lines_;
+  std::vector<UnparsedLine> unparsed_lines_;
 };
 
 // "time process event: details", for people.
--- a/src/gateway/peer_codec.cc
+++ b/src/gateway/peer_codec.cc
@@ -106,7 +106,7 @@
       builder.CreateVector(holds), builder.CreateVector(peers), builder.CreateVectorOfStructs(kept),
       builder.CreateString(report.zone), report.link_mbps, builder.CreateVector(records),
       LeaseToWire(builder, report.lease), report.wall_ms, report.closed_through, UsageToWire(builder, report.usage),
-      CrashesToWire(builder, report.crashes), LimitsToWire(builder, report.limits)));
+      CrashesToWire(builder, report.crashes), LimitMessagesToWire(builder, report.limits)));
   return std::string(reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize());
 }
 
@@ -141,7 +141,8 @@
   flatbuffers::Verifier verifier(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   if (!wire::VerifyReportBuffer(verifier)) return absl::UnavailableError("bytes that are no report");
   const wire::Report* source = wire::GetReport(bytes.data());
-  if (source->format() != kFormat || source->scope() > static_cast<std::uint8_t>(serving::ReportScope::kRegionPassed)) {
+  if (source->format() != kFormat ||
+      source->scope() > static_cast<std::uint8_t>(serving::ReportScope::kRegionForwarded)) {
     return absl::FailedPreconditionError("a report of another format; run one version on all nodes");
   }
   serving::PeerReport report;
@@ -165,7 +166,7 @@
     report.peers.push_back({Text(item.node()), Text(item.address()), Text(item.zone()), item.link_mbps(), false});
   });
   ForEach(source->limits(), [&](const wire::LimitMessage& item) {
-    if (auto message = LimitFromWire(item)) report.limits.push_back(std::move(*message));
+    if (auto message = LimitMessageFromWire(item)) report.limits.push_back(std::move(*message));
   });
   ForEach(source->records(), [&](const wire::RecordMark& item) {
     report.records.push_back({Text(item.kind()), item.changed_at()});
--- a/src/gateway/peer_exchange.cc
+++ b/src/gateway/peer_exchange.cc
@@ -4,7 +4,7 @@
 
 #include <boost/asio/buffer.hpp>
 
-#include "src/core/serving/turns.h"
+#include "src/core/serving/round_robin.h"
 #include "src/gateway/peer_codec.h"
 #include "src/http/socket.h"
 
@@ -40,7 +40,7 @@
                                  if (report.ok()) {
                                    handlers_.on_report(*report);
                                  } else {
-                                   handlers_.on_refused(report.status(), sender_.address().to_string());
+                                   handlers_.on_rejected_report(report.status(), sender_.address().to_string());
                                  }
                                }
                                Receive();
@@ -48,8 +48,8 @@
 }
 
 void PeerExchange::Round() {
-  SendNow();
-  timer_.expires_after(quiet_ ? options_.quiet_slowdown * options_.interval : options_.interval);
+  SendReportNow();
+  timer_.expires_after(reduced_rate_ ? options_.reduced_interval_factor * options_.interval : options_.interval);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) Round();
   });
@@ -61,15 +61,15 @@
   handlers_.fill(report);
   std::vector<std::string> targets;
   for (const serving::PeerNode& peer : handlers_.peers()) targets.push_back(peer.address);
-  targets = serving::TakeByTurns(std::move(targets), fan_out, next_);
+  targets = serving::TakeRoundRobin(std::move(targets), fan_out, next_);
   // Seeds are asked as long as few answer: they may be stale.
-  if (!quiet_ && targets.size() < options_.seeds.size()) {
+  if (!reduced_rate_ && targets.size() < options_.seeds.size()) {
     targets.insert(targets.end(), options_.seeds.begin(), options_.seeds.end());
   }
   // Who is there changes seldom: it is told in some rounds only.
   constexpr std::uint64_t kRoundsPerListing = 5;
-  if (!quiet_ && report.sequence % kRoundsPerListing != 1) report.peers.clear();
-  if (quiet_) {
+  if (!reduced_rate_ && report.sequence % kRoundsPerListing != 1) report.peers.clear();
+  if (reduced_rate_) {
     report.work.clear();
     report.kept.clear();
   }
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -29,17 +29,18 @@
   std::size_t fan_out = 10;
   // The same while digests come, which tell what the others do: rounds then only keep nodes known to each other, and
   // are as much rarer.
-  std::size_t quiet_fan_out = 2;
-  int quiet_slowdown = 5;
+  std::size_t reduced_fan_out = 2;
+  int reduced_interval_factor = 5;
 };
 
 class PeerExchange {
  public:
   struct Handlers {
-    std::function<void(serving::PeerReport&)> fill;                           // Completes a report before it is sent.
-    std::function<void(const serving::PeerReport&)> on_report;                // Gets what arrives.
-    std::function<void(const absl::Status&, const std::string&)> on_refused;  // Cause, and the sender's address.
-    std::function<std::vector<serving::PeerNode>()> peers;                    // To whom rounds go.
+    std::function<void(serving::PeerReport&)> fill;             // Completes a report before it is sent.
+    std::function<void(const serving::PeerReport&)> on_report;  // Gets what arrives.
+    std::function<void(const absl::Status&, const std::string&)>
+        on_rejected_report;                                 // Cause, and the sender's address.
+    std::function<std::vector<serving::PeerNode>()> peers;  // To whom rounds go.
     // Gets what is sent: its address, what it tells of, and its size.
     std::function<void(const std::string&, serving::ReportScope, std::size_t bytes)> on_sent;
   };
@@ -48,13 +49,13 @@
   // Errors say which address cannot be bound.
   absl::Status Start();
   // Sends a report now, besides the rounds.
-  void SendNow() { SendReport(quiet_ ? options_.quiet_fan_out : options_.fan_out); }
+  void SendReportNow() { SendReport(reduced_rate_ ? options_.reduced_fan_out : options_.fan_out); }
   // The same to as many as where no digests come: what must be known soon does not hang on who sums up.
-  void SendUrgent() { SendReport(options_.fan_out); }
+  void SendReportWide() { SendReport(options_.fan_out); }
   // Sends a report with all known peers to one address now.
   void Greet(const std::string& address);
   void Send(const std::vector<serving::FleetMessage>& messages);
-  void set_quiet(bool quiet) { quiet_ = quiet; }
+  void set_reduced_rate(bool quiet) { reduced_rate_ = quiet; }
 
  private:
   void Receive();
@@ -66,7 +67,7 @@
   BootTimer timer_;
   PeerExchangeOptions options_;
   Handlers handlers_;
-  bool quiet_ = false;
+  bool reduced_rate_ = false;
   boost::asio::ip::udp::endpoint sender_;
   std::array<char, 65536> buffer_;
   std::size_t next_ = 0;
--- a/src/gateway/quarantine_store.cc
+++ b/src/gateway/quarantine_store.cc
@@ -53,11 +53,11 @@
 
 void QuarantineStore::Step() {
   if (under_way_ || gateway_.Now() < next_) return;
-  if (reads_ || HasUnsaved()) Read();
+  if (reads_ || HasUnsavedRequests()) Read();
 }
 
-bool QuarantineStore::HasUnsaved() const {
-  const std::vector<std::uint64_t> own = gateway_.core().crashes().OwnInQuarantine(gateway_.Now());
+bool QuarantineStore::HasUnsavedRequests() const {
+  const std::vector<std::uint64_t> own = gateway_.core().crashes().LocallyObservedQuarantined(gateway_.Now());
   return std::any_of(own.begin(), own.end(), [this](std::uint64_t request) { return !saved_.contains(request); });
 }
 
@@ -81,9 +81,9 @@
   saved_ = RequestsOf(marks);
   if (!marks.empty()) {
     LogCall("read", saved_.size(), absl::OkStatus());
-    gateway_.Dispatch(serving::CrashesTold{marks});
+    gateway_.Dispatch(serving::PeerCrashesReported{marks});
   }
-  if (HasUnsaved()) Write(object.ok() ? object->revision : 0);
+  if (HasUnsavedRequests()) Write(object.ok() ? object->revision : 0);
 }
 
 void QuarantineStore::Write(std::int64_t revision) {
--- a/src/gateway/quarantine_store.h
+++ b/src/gateway/quarantine_store.h
@@ -30,7 +30,7 @@
   void OnRead(const absl::StatusOr<StoredObject>& object);
   void Write(std::int64_t revision);
   void OnWritten(const std::set<std::uint64_t>& requests, const absl::Status& status);
-  bool HasUnsaved() const;
+  bool HasUnsavedRequests() const;
   void RetryAfter(Duration pause);
   void LogCall(std::string_view call, std::size_t requests, const absl::Status& status);
 
--- a/src/gateway/traffic_meter.cc
+++ b/src/gateway/traffic_meter.cc
@@ -7,13 +7,13 @@
 
 constexpr std::array<std::string_view, kTrafficKinds> kKindNames = {
     "request", "answer", "report", "zone_digest", "region_digest", "fleet_digest", "usage", "limits", "records"};
-constexpr std::array<std::string_view, kTrafficReaches> kReachNames = {"zone", "region", "far"};
+constexpr std::array<std::string_view, kTrafficLocalities> kReachNames = {"zone", "region", "far"};
 
 }  // namespace
 
 std::string_view NameOf(TrafficKind kind) { return kKindNames.at(static_cast<std::size_t>(kind)); }
 
-std::string_view NameOf(TrafficReach reach) { return kReachNames.at(static_cast<std::size_t>(reach)); }
+std::string_view NameOf(TrafficLocality reach) { return kReachNames.at(static_cast<std::size_t>(reach)); }
 
 TrafficKind KindOf(serving::ReportScope scope) {
   switch (scope) {
@@ -22,7 +22,7 @@
     case serving::ReportScope::kZone:
       return TrafficKind::kZoneDigest;
     case serving::ReportScope::kRegion:
-    case serving::ReportScope::kRegionPassed:
+    case serving::ReportScope::kRegionForwarded:
       return TrafficKind::kRegionDigest;
     case serving::ReportScope::kFleet:
       return TrafficKind::kFleetDigest;
@@ -34,16 +34,16 @@
   return TrafficKind::kReport;
 }
 
-TrafficReach TrafficMeter::ReachOf(std::string_view zone) const {
-  if (zone == topology_.own_zone()) return TrafficReach::kZone;
-  return topology_.IsOwnRegion(zone) ? TrafficReach::kRegion : TrafficReach::kFar;
+TrafficLocality TrafficMeter::LocalityOf(std::string_view zone) const {
+  if (zone == topology_.own_zone()) return TrafficLocality::kZone;
+  return topology_.IsOwnRegion(zone) ? TrafficLocality::kRegion : TrafficLocality::kOtherRegion;
 }
 
-void TrafficMeter::Count(TrafficKind kind, TrafficReach reach, std::size_t bytes) {
+void TrafficMeter::Count(TrafficKind kind, TrafficLocality reach, std::size_t bytes) {
   bytes_.at(static_cast<std::size_t>(kind)).at(static_cast<std::size_t>(reach)) += bytes;
 }
 
-std::uint64_t TrafficMeter::bytes(TrafficKind kind, TrafficReach reach) const {
+std::uint64_t TrafficMeter::bytes(TrafficKind kind, TrafficLocality reach) const {
   return bytes_.at(static_cast<std::size_t>(kind)).at(static_cast<std::size_t>(reach));
 }
 
--- a/src/gateway/traffic_meter.h
+++ b/src/gateway/traffic_meter.h
@@ -31,25 +31,29 @@
 // The kind of a datagram of that scope.
 TrafficKind KindOf(serving::ReportScope scope);
 
-enum class TrafficReach : std::uint8_t { kZone, kRegion, kFar };  // kFar: another region, or not known.
-inline constexpr std::size_t kTrafficReaches = 3;
-std::string_view NameOf(TrafficReach reach);
+enum class TrafficLocality : std::uint8_t {
+  kZone,
+  kRegion,
+  kOtherRegion
+};  // kOtherRegion: another region, or not known.
+inline constexpr std::size_t kTrafficLocalities = 3;
+std::string_view NameOf(TrafficLocality reach);
 
 class TrafficMeter {
  public:
   // `topology` outlives it.
   explicit TrafficMeter(const serving::Topology& topology) : topology_(topology) {}
 
-  TrafficReach ReachOf(std::string_view zone) const;
-  void Count(TrafficKind kind, TrafficReach reach, std::size_t bytes);
-  void Count(TrafficKind kind, std::string_view zone, std::size_t bytes) { Count(kind, ReachOf(zone), bytes); }
-  std::uint64_t bytes(TrafficKind kind, TrafficReach reach) const;
+  TrafficLocality LocalityOf(std::string_view zone) const;
+  void Count(TrafficKind kind, TrafficLocality reach, std::size_t bytes);
+  void Count(TrafficKind kind, std::string_view zone, std::size_t bytes) { Count(kind, LocalityOf(zone), bytes); }
+  std::uint64_t bytes(TrafficKind kind, TrafficLocality reach) const;
   // All that was counted, as JSON members.
   std::string Summary() const;
 
  private:
   const serving::Topology& topology_;
-  std::array<std::array<std::uint64_t, kTrafficReaches>, kTrafficKinds> bytes_{};
+  std::array<std::array<std::uint64_t, kTrafficLocalities>, kTrafficKinds> bytes_{};
 };
 
 }  // namespace saltquay::gateway
--- a/src/limits/limit_home.h
+++ b/src/limits/owned_buckets.h
@@ -1,4 +1,4 @@
-// The buckets of the tenants whose home this node is, and what was decided on them.
+// The buckets of the tenants whose owner this node is, and what was decided on them.
 #pragma once
 
 #include <cstdint>
@@ -11,37 +11,37 @@
 #include "saltquay/limits/limiter.h"
 #include "saltquay/limits/tenant_limit.h"
 #include "src/base/sliding_maximum.h"
-#include "src/limits/limit_knobs.h"
+#include "src/limits/limiter_parameters.h"
 #include "src/limits/token_bucket.h"
 
 namespace saltquay::limits {
 
-class LimitHome {
+class OwnedBuckets {
 public:
-    LimitHome(LimitKnobs const& knobs, LimitTolerance const& tolerance)
-        : knobs_(knobs)
+    OwnedBuckets(LimiterParameters const& parameters, LimitTolerance const& tolerance)
+        : parameters_(parameters)
         , tolerance_(tolerance)
-        , largest_reach_(knobs.reach_memory)
+        , largest_reach_(parameters.reach_memory)
     {
     }
 
     // How many nodes this one is in touch with. Of a fleet that is cut in two, each side fills its buckets at its
     // share.
-    void set_reach(Time, Reach const&);
+    void set_reachable_nodes(Time, Reach const&);
     int reach() const { return reach_.nodes; }
     // The most nodes that it was in touch with lately; 0: not told yet.
     int largest_reach() const { return largest_reach_.Get(); }
 
     bool holds(std::uint64_t tenant) const { return buckets_.contains(tenant); }
-    // Begins with a part of the bucket: what the home before has admitted is not known. `share`: the part of the fleet
-    // that this node was in touch with when it found the home before to be silent; nothing: there may be another home
+    // Begins with a part of the bucket: what the owner before has admitted is not known. `share`: the part of the fleet
+    // that this node was in touch with when it found the owner before to be silent; nothing: there may be another owner
     // of which it has not heard yet.
     void open(Time, std::uint64_t tenant, TenantLimit const&, std::optional<double> share);
-    // Goes on from what another home held, besides what is held here already.
-    void receive(Time, BucketHandOver const&, TenantLimit const&);
-    // Ends the bucket; its level goes to another home.
-    BucketHandOver give_up(Time, std::uint64_t tenant);
-    // This node stood still and another may have been the home meanwhile: goes on like a new home.
+    // Goes on from what another owner held, besides what is held here already.
+    void receive(Time, BucketHandoff const&, TenantLimit const&);
+    // Ends the bucket; its level goes to another owner.
+    BucketHandoff give_up(Time, std::uint64_t tenant);
+    // This node stood still and another may have been the owner meanwhile: goes on like a new owner.
     void distrust(Time);
     // The most nodes that another node was in touch with.
     void note_fleet(Time now, int nodes) { largest_reach_.Note(nodes, now); }
@@ -49,11 +49,11 @@
     void change_limit(Time, std::uint64_t tenant, std::optional<TenantLimit> const&);
 
     // What was decided on a charge lately, also of buckets that were given up since.
-    std::optional<LimitAnswer> find_answer(ChargeKey const&) const;
+    std::optional<ChargeResponse> find_answer(ChargeId const&) const;
     // Decides on an ask, or repeats what was decided on it. The tenant's bucket is held.
-    LimitAnswer decide(Time, LimitAsk const&);
+    ChargeResponse decide(Time, ChargeRequest const&);
     // Gives back what was charged; once for each charge.
-    void refund(Time, ChargeKey const&);
+    void refund(Time, ChargeId const&);
 
     double level(Time, std::uint64_t tenant) const;
     // The bucket's depth for a limit: its burst and a part of the slack.
@@ -70,10 +70,10 @@
         TokenBucket tokens;
         std::optional<Time> settled_at; // Until then a rival may be there.
         std::optional<double> share {}; // Of the fleet, meanwhile; the smaller of this and the reach counts.
-        double unearned = 0;            // Units that it began with, and that no home before handed over.
+        double unearned = 0;            // Units that it began with, and that no owner before handed over.
     };
     struct Decided {
-        LimitAnswer answer;
+        ChargeResponse answer;
         std::uint64_t tenant = 0;
         std::int64_t cost = 0;
     };
@@ -89,14 +89,14 @@
     void refresh(Time, Bucket&);
     void remember(Time, Decided const&);
 
-    LimitKnobs knobs_;
+    LimiterParameters parameters_;
     LimitTolerance tolerance_;
     SlidingMaximum largest_reach_;
     Reach reach_;
     std::map<std::uint64_t, Bucket> buckets_; // By tenant.
-    std::map<ChargeKey, Decided> decided_;
-    std::deque<std::pair<Time, ChargeKey>> decided_order_;
-    std::map<ChargeKey, Time> received_; // Hand-overs that were taken.
+    std::map<ChargeId, Decided> decided_;
+    std::deque<std::pair<Time, ChargeId>> decided_order_;
+    std::map<ChargeId, Time> received_; // Hand-overs that were taken.
 };
 
 }
--- a/src/limits/home_watch.h
+++ b/src/limits/owner_failure_detector.h
@@ -13,14 +13,14 @@
 #include <string>
 #include <vector>
 
-#include "src/limits/limit_knobs.h"
+#include "src/limits/limiter_parameters.h"
 
 namespace saltquay::limits {
 
-class HomeWatch {
+class OwnerFailureDetector {
 public:
-    explicit HomeWatch(LimitKnobs const& knobs)
-        : knobs_(knobs)
+    explicit OwnerFailureDetector(LimiterParameters const& parameters)
+        : parameters_(parameters)
     {
     }
 
@@ -36,7 +36,7 @@
     std::string via(std::uint64_t node) const;
     // The part of the fleet that answered while nodes became absent; nothing where none is absent.
     std::optional<double> surveyed_share() const;
-    // It passed an ask on, for it has just started or stops: it is no home for a while.
+    // It passed an ask on, for it has just started or stops: it is no owner for a while.
     void note_declined(Time now, std::uint64_t node);
 
     bool is_suspect(std::uint64_t node) const { return suspects_.contains(node); }
@@ -46,7 +46,7 @@
         std::vector<std::uint64_t> probes;  // Nodes to probe now.
         std::vector<std::uint64_t> surveys; // Nodes that others are to be asked about.
         std::vector<std::uint64_t> absent;  // Nodes that became absent.
-        bool joined = false;                // A node that had declined may be a home now.
+        bool joined = false;                // A node that had declined may be a owner now.
     };
     // `is_known`: whether a node is still one of the fleet.
     Due step(Time, std::function<bool(std::uint64_t)> const& is_known);
@@ -63,7 +63,7 @@
         std::string via;
     };
 
-    LimitKnobs knobs_;
+    LimiterParameters parameters_;
     std::map<std::uint64_t, Suspect> suspects_;
     std::map<std::uint64_t, Time> declined_until_;
     std::map<std::uint64_t, Time> cleared_at_; // When a suspect was heard.
--- a/src/limits/home_order.cc
+++ b/src/limits/owner_ranking.cc
@@ -1,4 +1,4 @@
-#include "src/limits/home_order.h"
+#include "src/limits/owner_ranking.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,15 +7,15 @@
 
 namespace saltquay::limits {
 
-HomeOrder::HomeOrder(LimitNode const& self)
+OwnerRanking::OwnerRanking(LimiterNode const& self)
     : self_(HashText(self.name))
 {
     nodes_[self_] = { self_, self };
 }
 
-bool HomeOrder::set_nodes(std::vector<LimitNode> const& nodes)
+bool OwnerRanking::set_nodes(std::vector<LimiterNode> const& nodes)
 {
-    std::map<std::uint64_t, HomeNode> next;
+    std::map<std::uint64_t, OwnerCandidate> next;
     next[self_] = self();
     for (auto const& node : nodes) {
         auto const hash = HashText(node.name);
@@ -32,22 +32,22 @@
     return changed;
 }
 
-HomeNode const* HomeOrder::find(std::uint64_t hash) const
+OwnerCandidate const* OwnerRanking::find(std::uint64_t hash) const
 {
     auto const entry = nodes_.find(hash);
     return entry == nodes_.end() ? nullptr : &entry->second;
 }
 
-std::vector<HomeNode const*> HomeOrder::sample(std::uint64_t but, std::size_t most) const
+std::vector<OwnerCandidate const*> OwnerRanking::sample(std::uint64_t but, std::size_t most) const
 {
-    std::vector<std::pair<std::uint64_t, HomeNode const*>> ranked;
+    std::vector<std::pair<std::uint64_t, OwnerCandidate const*>> ranked;
     auto const seed = HashPair(self_, but);
     for (auto const& [hash, node] : nodes_) {
         if (hash != self_ && hash != but)
             ranked.emplace_back(rank_of(seed, hash), &node);
     }
     std::sort(ranked.begin(), ranked.end());
-    std::vector<HomeNode const*> chosen;
+    std::vector<OwnerCandidate const*> chosen;
     for (auto const& [rank, node] : ranked) {
         if (chosen.size() < most)
             chosen.push_back(node);
@@ -55,6 +55,6 @@
     return chosen;
 }
 
-std::uint64_t HomeOrder::rank_of(std::uint64_t tenant, std::uint64_t node) { return HashPair(tenant, node); }
+std::uint64_t OwnerRanking::rank_of(std::uint64_t tenant, std::uint64_t node) { return HashPair(tenant, node); }
 
 }
--- a/src/limits/home_order.h
+++ b/src/limits/owner_ranking.h
@@ -1,9 +1,9 @@
-// Which node is a tenant's home: the first in a rendezvous order over the nodes that are known, those with the widest
-// links before all others. A home is asked for each request of its tenants: with a narrow link it would fall silent
+// Which node is a tenant's owner: the first in a rendezvous order over the nodes that are known, those with the widest
+// links before all others. A owner is asked for each request of its tenants: with a narrow link it would fall silent
 // just when a tenant sends many times its usual.
 //
 // Nodes that know the same nodes compute the same order; where one is missing, only the tenants that it was first for
-// have another home.
+// have another owner.
 #pragma once
 
 #include <cstdint>
@@ -15,30 +15,30 @@
 
 namespace saltquay::limits {
 
-struct HomeNode {
+struct OwnerCandidate {
     std::uint64_t hash = 0; // Of its name.
-    LimitNode node;
+    LimiterNode node;
 };
 
-class HomeOrder {
+class OwnerRanking {
 public:
-    explicit HomeOrder(LimitNode const& self);
+    explicit OwnerRanking(LimiterNode const& self);
 
     // Returns whether anything changed. This node is always one of them.
-    bool set_nodes(std::vector<LimitNode> const&);
-    HomeNode const& self() const { return nodes_.at(self_); }
-    HomeNode const* find(std::uint64_t hash) const;
+    bool set_nodes(std::vector<LimiterNode> const&);
+    OwnerCandidate const& self() const { return nodes_.at(self_); }
+    OwnerCandidate const* find(std::uint64_t hash) const;
     std::size_t size() const { return nodes_.size(); }
 
     // Some nodes, the same each time, without this one and `but`.
-    std::vector<HomeNode const*> sample(std::uint64_t but, std::size_t most) const;
+    std::vector<OwnerCandidate const*> sample(std::uint64_t but, std::size_t most) const;
 
     // The first node of the tenant's order of which `is_left_out(hash)` is false; nullptr where there is none.
     // `before`: how many were left out before it.
     template<typename LeftOut>
-    HomeNode const* first(std::uint64_t tenant, LeftOut is_left_out, int* before = nullptr) const
+    OwnerCandidate const* first(std::uint64_t tenant, LeftOut is_left_out, int* before = nullptr) const
     {
-        HomeNode const* best = nullptr;
+        OwnerCandidate const* best = nullptr;
         std::pair<int, std::uint64_t> best_rank;
         std::vector<std::pair<int, std::uint64_t>> left_out_ranks;
         for (auto const& [hash, node] : nodes_) {
@@ -62,7 +62,7 @@
     static std::uint64_t rank_of(std::uint64_t tenant, std::uint64_t node);
 
     std::uint64_t self_ = 0;
-    std::map<std::uint64_t, HomeNode> nodes_; // By hash.
+    std::map<std::uint64_t, OwnerCandidate> nodes_; // By hash.
 };
 
 }
--- a/src/programs/saltquayctl.cc
+++ b/src/programs/saltquayctl.cc
@@ -256,7 +256,7 @@
   for (const gateway::LogLine& line : lines) {
     std::cout << (arguments.count("json") > 0 ? line.text : gateway::FormatLogLine(line)) << "\n";
   }
-  for (const gateway::BadLine& bad : explainer.bad_lines()) {
+  for (const gateway::UnparsedLine& bad : explainer.unparsed_lines()) {
     std::cerr << fmt::format("{}:{}: not an event line, skipped\n", bad.source, bad.number);
   }
   if (!lines.empty()) return EXIT_SUCCESS;
--- a/src/programs/saltquayd.cc
+++ b/src/programs/saltquayd.cc
@@ -51,7 +51,7 @@
 int Serve(const Settings& settings) {
   const StopSignals stop_signals;
   ConfigureLogger(settings.log_format, fmt::format("node-{}", settings.node_id));
-  absl::StatusOr<std::unique_ptr<NodeServer>> server = NodeServer::Start(settings, Knobs{});
+  absl::StatusOr<std::unique_ptr<NodeServer>> server = NodeServer::Start(settings, Parameters{});
   if (!server.ok()) {
     LogEvent(EventId::kListenFailed, MessageOf(server.status()));
     return kExitListen;
--- a/src/replica/record_codec.cc
+++ b/src/replica/record_codec.cc
@@ -51,7 +51,7 @@
 
 }
 
-std::string encode(PassedList const& passed)
+std::string encode(RelayedList const& passed)
 {
     flatbuffers::FlatBufferBuilder builder(initial_bytes);
     std::vector<flatbuffers::Offset<wire::Record>> records;
@@ -60,7 +60,7 @@
     return finish(builder, passed.list.at, passed.from, records);
 }
 
-std::string encode(PassedEvents const& passed)
+std::string encode(RelayedEvents const& passed)
 {
     flatbuffers::FlatBufferBuilder builder(initial_bytes);
     std::vector<flatbuffers::Offset<wire::Record>> records;
@@ -69,12 +69,12 @@
     return finish(builder, passed.events.at, passed.from, records);
 }
 
-absl::StatusOr<PassedList> decode_list(std::string_view bytes)
+absl::StatusOr<RelayedList> decode_list(std::string_view bytes)
 {
     auto const verified = verify(bytes);
     if (!verified.ok())
         return verified.status();
-    PassedList passed;
+    RelayedList passed;
     passed.from = to_provenance(**verified);
     passed.list.at = (*verified)->at();
     if ((*verified)->records() != nullptr) {
@@ -84,12 +84,12 @@
     return passed;
 }
 
-absl::StatusOr<PassedEvents> decode_events(std::string_view bytes)
+absl::StatusOr<RelayedEvents> decode_events(std::string_view bytes)
 {
     auto const verified = verify(bytes);
     if (!verified.ok())
         return verified.status();
-    PassedEvents passed;
+    RelayedEvents passed;
     passed.from = to_provenance(**verified);
     passed.events.at = (*verified)->at();
     if ((*verified)->records() != nullptr) {
--- a/src/replica/record_codec.h
+++ b/src/replica/record_codec.h
@@ -9,11 +9,11 @@
 
 namespace saltquay::replica {
 
-std::string encode(PassedList const&);
-std::string encode(PassedEvents const&);
+std::string encode(RelayedList const&);
+std::string encode(RelayedEvents const&);
 
 // Errors: kUnavailable for bytes that do not verify.
-absl::StatusOr<PassedList> decode_list(std::string_view bytes);
-absl::StatusOr<PassedEvents> decode_events(std::string_view bytes);
+absl::StatusOr<RelayedList> decode_list(std::string_view bytes);
+absl::StatusOr<RelayedEvents> decode_events(std::string_view bytes);
 
 }
--- a/src/replica/record_replica.cc
+++ b/src/replica/record_replica.cc
@@ -48,7 +48,7 @@
 
 void RecordReplica::forget_old_changes()
 {
-    while (held_bytes_ > history_bytes && history_.size() > 1) {
+    while (held_bytes_ > max_history_bytes && history_.size() > 1) {
         history_from_ = history_.front().up_to;
         held_bytes_ -= history_.front().bytes;
         history_.pop_front();
--- a/src/replica/relay_server.cc
+++ b/src/replica/relay_server.cc
@@ -107,7 +107,7 @@
     return true;
 }
 
-void RelayServer::on_change(std::string const& kind)
+void RelayServer::on_record_update(std::string const& kind)
 {
     std::erase_if(
         waiting_, [&](Waiting const& question) { return question.kind == kind && try_answer(question, false); });
--- a/src/replica/relayed_store.cc
+++ b/src/replica/relayed_store.cc
@@ -51,7 +51,7 @@
 
 void RelayedStore::List(std::string const& kind, std::function<void(absl::StatusOr<ObjectList>)> done)
 {
-    if (now() < started_ + options_.peers_wait) {
+    if (now() < started_ + options_.startup_peer_wait) {
         auto const timer = std::make_shared<BootTimer>(loop_, start_step);
         timer->async_wait([this, timer, kind, done](boost::system::error_code error) {
             if (!error)
@@ -76,7 +76,8 @@
 {
     auto& state = kinds_[kind];
     if (state.freshness == nullptr) {
-        state.freshness = std::make_unique<Freshness>(loop_, options_.freshness, [this, kind] { on_stale(kind); });
+        state.freshness =
+            std::make_unique<FreshnessTracker>(loop_, options_.freshness, [this, kind] { on_stale(kind); });
     }
     return state;
 }
@@ -88,10 +89,10 @@
     origin_.List(kind, [this, kind, done, asked = now()](absl::StatusOr<ObjectList> const& list) {
         auto& state = kind_state(kind);
         if (!list.ok()) {
-            note_store_failed(state);
+            record_store_failure(state);
             return state.replica.known() ? done(list) : list_anywhere(kind, done);
         }
-        selector_.note_store_answered(now());
+        selector_.record_store_success(now());
         state.reads_store = true;
         state.hops = 0;
         state.replica.replace(*list);
@@ -113,19 +114,19 @@
 }
 
 void RelayedStore::list_at_peer(
-    std::string const& kind, serving::PeerNode const& peer, bool even_if_stale, ListHandler const& done)
+    std::string const& kind, serving::PeerNode const& peer, bool allow_stale, ListHandler const& done)
 {
-    auto const target = fmt::format("/records/{}{}", kind, even_if_stale ? "?stale=1" : "");
-    Question const question { peer.node, now() };
+    auto const target = fmt::format("/records/{}{}", kind, allow_stale ? "?stale=1" : "");
+    PeerRequest const question { peer.node, now() };
     ask(peer, target, [this, kind, done, question](absl::StatusOr<fetch::Reply> const& reply) {
         auto const& node = question.node;
         if (reply.ok() && reply->status == too_early)
-            selector_.note_starting(node, now());
+            selector_.record_starting(node, now());
         if (reply.ok() && reply->status == unavailable)
-            selector_.note_unheard(node, now());
+            selector_.note_disconnected(node, now());
         if (reply.ok() && (reply->status == too_early || reply->status == unavailable))
             return done(to_status(*reply));
-        absl::StatusOr<PassedList> passed = reply.ok() ? to_status(*reply) : reply.status();
+        absl::StatusOr<RelayedList> passed = reply.ok() ? to_status(*reply) : reply.status();
         if (reply.ok() && reply->status == ok)
             passed = decode_list(reply->body);
         auto& state = kind_state(kind);
@@ -140,7 +141,7 @@
         state.follows = node;
         state.replica.replace(passed->list);
         state.hops = passed->from.hops + 1;
-        confirm(kind, complete_until(question, passed->from));
+        confirm(kind, valid_as_of(question, passed->from));
         take_list(kind, passed->list, done);
     });
 }
@@ -148,8 +149,8 @@
 void RelayedStore::take_list(std::string const& kind, ObjectList const& list, ListHandler const& done)
 {
     done(list);
-    if (on_change)
-        on_change(kind);
+    if (on_record_update)
+        on_record_update(kind);
 }
 
 void RelayedStore::Watch(std::string const& kind, std::int64_t revision, std::chrono::milliseconds,
@@ -182,7 +183,7 @@
     state.reads_store = true;
     if (now() < state.next_store_watch)
         return watch_at_store_after(kind, state.next_store_watch - now(), cause);
-    ask_store(kind, state.freshness->until_next_confirmation(now()), cause);
+    ask_store(kind, state.freshness->time_to_next_confirmation(now()), cause);
 }
 
 void RelayedStore::ask_store(std::string const& kind, std::chrono::milliseconds wait, std::string const& cause)
@@ -195,12 +196,12 @@
             if (answered.turn != turn || !answered.watching)
                 return;
             if (events.ok()) {
-                selector_.note_store_answered(now());
+                selector_.record_store_success(now());
                 answered.hops = 0;
                 if (!events->events.empty())
-                    answered.next_store_watch = asked + options_.store_distance;
+                    answered.next_store_watch = asked + options_.min_store_watch_interval;
             } else if (!absl::IsOutOfRange(events.status())) {
-                note_store_failed(answered);
+                record_store_failure(answered);
             }
             finish_watch(kind, turn, events, now());
         });
@@ -223,8 +224,8 @@
     state.reads_store = false;
     state.follows = peer.node;
     auto const target =
-        fmt::format("/records/{}?since={}&wait_ms={}", kind, state.revision, options_.follower_wait.count());
-    Question const question { peer.node, now() };
+        fmt::format("/records/{}?since={}&wait_ms={}", kind, state.revision, options_.follower_watch_timeout.count());
+    PeerRequest const question { peer.node, now() };
     state.fetch =
         ask(peer, target, [this, kind, turn = state.turn, question](absl::StatusOr<fetch::Reply> const& reply) {
             on_peer_changes(kind, turn, question, reply);
@@ -232,7 +233,7 @@
 }
 
 void RelayedStore::on_peer_changes(
-    std::string const& kind, std::uint64_t turn, Question const& question, absl::StatusOr<fetch::Reply> const& reply)
+    std::string const& kind, std::uint64_t turn, PeerRequest const& question, absl::StatusOr<fetch::Reply> const& reply)
 {
     auto& state = kind_state(kind);
     auto const& node = question.node;
@@ -240,16 +241,16 @@
         return;
     if (reply.ok() && reply->status == gone)
         return finish_watch(kind, turn, to_status(*reply), Time {});
-    absl::StatusOr<PassedEvents> passed = reply.ok() ? to_status(*reply) : reply.status();
+    absl::StatusOr<RelayedEvents> passed = reply.ok() ? to_status(*reply) : reply.status();
     if (reply.ok() && reply->status == ok)
         passed = decode_events(reply->body);
-    if (passed.ok() && passed->events.at >= state.revision && passed->from.hops <= options_.most_hops) {
+    if (passed.ok() && passed->events.at >= state.revision && passed->from.hops <= options_.max_hops) {
         note_upstream(kind, node, "follows");
         state.hops = passed->from.hops + 1;
-        return finish_watch(kind, turn, passed->events, complete_until(question, passed->from));
+        return finish_watch(kind, turn, passed->events, valid_as_of(question, passed->from));
     }
     if (reply.ok() && reply->status == unavailable) {
-        selector_.note_unheard(node, now());
+        selector_.note_disconnected(node, now());
         return watch_upstream(kind, "the upstream does not hear the store");
     }
     selector_.avoid(node, now());
@@ -257,7 +258,7 @@
 }
 
 void RelayedStore::finish_watch(
-    std::string const& kind, std::uint64_t turn, absl::StatusOr<ObjectEvents> const& events, Time complete_until)
+    std::string const& kind, std::uint64_t turn, absl::StatusOr<ObjectEvents> const& events, Time valid_as_of)
 {
     auto& state = kind_state(kind);
     if (!state.watching || state.turn != turn)
@@ -265,12 +266,12 @@
     state.watching = false;
     if (events.ok()) {
         state.replica.apply(*events);
-        confirm(kind, complete_until);
+        confirm(kind, valid_as_of);
     }
     auto const done = std::move(state.watch_done);
     done(events);
-    if (events.ok() && on_change)
-        on_change(kind);
+    if (events.ok() && on_record_update)
+        on_record_update(kind);
 }
 
 void RelayedStore::Write(
@@ -324,8 +325,8 @@
     if (told == name)
         return;
     told = name;
-    if (on_upstream)
-        on_upstream(kind, node, cause);
+    if (on_upstream_change)
+        on_upstream_change(kind, node, cause);
 }
 
 void RelayedStore::note_call(std::string const& kind, std::string_view call, std::string_view cause)
@@ -345,13 +346,13 @@
     options.pool = peer.address + target.substr(0, target.find('?'));
     options.connect_timeout = peer_connect;
     auto const waits = target.find("wait_ms") != std::string::npos;
-    options.timeout = waits ? options_.follower_wait + options_.follower_slack : peer_list_timeout;
+    options.timeout = waits ? options_.follower_watch_timeout + options_.follower_watch_margin : peer_list_timeout;
     if (!waits)
         options.stall_timeout = peer_list_stall;
     return fetcher_.fetch(peer.address, head, "", options,
         [this, peer, done = std::move(done)](absl::StatusOr<fetch::Reply> const& reply) {
-            if (reply.ok() && on_peer_answer)
-                on_peer_answer(peer, reply->body.size());
+            if (reply.ok() && on_peer_response)
+                on_peer_response(peer, reply->body.size());
             done(reply);
         });
 }
