--- a/src/replica/relayed_freshness.cc
+++ b/src/replica/relayed_store_freshness.cc
@@ -11,17 +11,17 @@
 }
 
 // Time on the way counts as age: the answer was written `held` after the question came, which was after it was asked.
-Time RelayedStore::complete_until(Question const& question, Provenance const& from)
+Time RelayedStore::valid_as_of(PeerRequest const& question, Provenance const& from)
 {
     if (!from.age)
         return Time {};
     return std::min(question.asked + from.held, now()) - *from.age;
 }
 
-void RelayedStore::confirm(std::string const& kind, Time complete_until)
+void RelayedStore::confirm(std::string const& kind, Time valid_as_of)
 {
     auto& state = kind_state(kind);
-    state.freshness->confirm(complete_until, state.hops);
+    state.freshness->confirm(valid_as_of, state.hops);
     state.asked_again = false;
     state.store_failed = false;
     tell_freshness(kind);
@@ -34,8 +34,8 @@
     if (fresh == state.told_fresh)
         return;
     state.told_fresh = fresh;
-    if (on_freshness) {
-        on_freshness(kind,
+    if (on_freshness_change) {
+        on_freshness_change(kind,
             { fresh, state.freshness->age(now()), state.replica.at(),
                 state.reads_store ? std::string() : state.follows });
     }
@@ -49,7 +49,7 @@
     if (!state.watching)
         return;
     if (!state.reads_store) {
-        selector_.note_unheard(state.follows, now());
+        selector_.note_disconnected(state.follows, now());
         return watch_upstream(kind, "what the upstream knows is stale");
     }
     // The connection of the watch may be dead: the same question on another one. The first answer counts.
@@ -57,14 +57,14 @@
         state.asked_again = true;
         return ask_store(kind, shortest_wait, "the store's watch is late");
     }
-    note_store_failed(state);
+    record_store_failure(state);
     watch_upstream(kind, "the store does not answer");
 }
 
-void RelayedStore::note_store_failed(Kind& state)
+void RelayedStore::record_store_failure(Kind& state)
 {
     state.store_failed = true;
-    selector_.note_store_failed(now());
+    selector_.record_store_failure(now());
 }
 
 Time RelayedStore::confirmed(std::string const& kind) const
@@ -75,7 +75,7 @@
 
 bool RelayedStore::may_pass_on(Kind const& state) const
 {
-    return !state.store_failed && state.hops <= options_.most_hops && state.freshness->is_fresh(now());
+    return !state.store_failed && state.hops <= options_.max_hops && state.freshness->is_fresh(now());
 }
 
 Provenance RelayedStore::provenance(Kind const& state)
@@ -95,17 +95,17 @@
     return marks;
 }
 
-absl::StatusOr<PassedList> RelayedStore::list_for_peer(std::string const& kind, bool even_if_stale)
+absl::StatusOr<RelayedList> RelayedStore::list_for_peer(std::string const& kind, bool allow_stale)
 {
     auto const entry = kinds_.find(kind);
     if (entry == kinds_.end() || !entry->second.replica.known())
         return absl::FailedPreconditionError("nothing known yet");
-    if (!even_if_stale && !may_pass_on(entry->second))
+    if (!allow_stale && !may_pass_on(entry->second))
         return absl::UnavailableError("what this node knows is stale");
-    return PassedList { entry->second.replica.list(), provenance(entry->second) };
+    return RelayedList { entry->second.replica.list(), provenance(entry->second) };
 }
 
-absl::StatusOr<PassedEvents> RelayedStore::changes_for_peer(std::string const& kind, std::int64_t since)
+absl::StatusOr<RelayedEvents> RelayedStore::changes_for_peer(std::string const& kind, std::int64_t since)
 {
     auto const entry = kinds_.find(kind);
     if (entry == kinds_.end() || !may_pass_on(entry->second))
@@ -113,11 +113,11 @@
     auto const& replica = entry->second.replica;
     // An asker that learnt of a change elsewhere waits like any other.
     if (since > replica.at())
-        return PassedEvents { { {}, since }, provenance(entry->second) };
+        return RelayedEvents { { {}, since }, provenance(entry->second) };
     auto changes = replica.changes_since(since);
     if (!changes)
         return absl::OutOfRangeError("these changes are forgotten");
-    return PassedEvents { *changes, provenance(entry->second) };
+    return RelayedEvents { *changes, provenance(entry->second) };
 }
 
 }
--- a/src/replica/upstream_selector.cc
+++ b/src/replica/upstream_selector.cc
@@ -15,8 +15,8 @@
     if (!self)
         std::erase_if(nodes, [&](Ranked const& ranked) { return ranked.node == &self_; });
     auto const count = static_cast<int>(nodes.size());
-    auto const wanted =
-        std::max(knobs_.readers_per_zone, (count + knobs_.nodes_per_reader - 1) / knobs_.nodes_per_reader);
+    auto const wanted = std::max(
+        parameters_.readers_per_zone, (count + parameters_.nodes_per_reader - 1) / parameters_.nodes_per_reader);
     nodes.resize(static_cast<std::size_t>(std::min(count, wanted)));
     return nodes;
 }
@@ -28,8 +28,8 @@
     std::erase_if(ranked, [&](Ranked const& candidate) {
         return candidate.node == &self_ ? !self : avoided_until_.contains(candidate.node->node);
     });
-    if (!topology_.HasRegions())
-        return serving::SpreadOverZones(ranked, static_cast<std::size_t>(knobs_.readers));
+    if (!topology_.HasMultipleRegions())
+        return serving::PickAcrossZones(ranked, static_cast<std::size_t>(parameters_.readers));
     std::set<std::string_view> regions;
     std::erase_if(ranked, [&](Ranked const& candidate) {
         auto const is_first = regions.insert(topology_.RegionOf(candidate.node->zone)).second;
@@ -62,7 +62,7 @@
     std::uint64_t best_rank = 0;
     for (auto const& ranked : nodes) {
         auto const& name = ranked.node->node;
-        if (avoided_until_.contains(name) || unheard_until_.contains(name) || starting_until_.contains(name))
+        if (avoided_until_.contains(name) || disconnected_until_.contains(name) || starting_until_.contains(name))
             continue;
         // Followers spread over their upstreams, and stay with theirs while it is there.
         auto const rank = HashPair(HashText(self_.node), ranked.hash);
@@ -76,11 +76,13 @@
 
 bool UpstreamSelector::may_ask_seed(std::string const& address, Time now) const
 {
-    auto const unheard = unheard_until_.find(address);
-    if (unheard != unheard_until_.end() && unheard->second - knobs_.avoid_for + knobs_.seed_pause > now)
+    auto const unheard = disconnected_until_.find(address);
+    if (unheard != disconnected_until_.end()
+        && unheard->second - parameters_.avoidance_period + parameters_.seed_retry_delay > now)
         return false;
     auto const starting = starting_until_.find(address);
-    return starting == starting_until_.end() || starting->second - knobs_.start_pause + knobs_.seed_pause <= now;
+    return starting == starting_until_.end()
+        || starting->second - parameters_.starting_retry_delay + parameters_.seed_retry_delay <= now;
 }
 
 Upstream UpstreamSelector::choose_seed(Time now)
@@ -98,7 +100,7 @@
         return {};
     if (!seeds_unheard_since_)
         seeds_unheard_since_ = now;
-    if (now - *seeds_unheard_since_ >= knobs_.seed_patience)
+    if (now - *seeds_unheard_since_ >= parameters_.seed_wait_limit)
         return {};
     return { Upstream::Source::Nobody, {} };
 }
@@ -107,15 +109,15 @@
 {
     auto const is_over = [&](auto const& entry) { return entry.second <= now; };
     std::erase_if(avoided_until_, is_over);
-    std::erase_if(unheard_until_, is_over);
+    std::erase_if(disconnected_until_, is_over);
     std::erase_if(starting_until_, is_over);
     if (peers.empty())
         return choose_seed(now);
     auto const turned_away = avoided_until_.contains(self_.node);
     if (turned_away) {
         // When many lose the store at once, the first that is served again is known only after a moment.
-        auto const left = knobs_.avoid_for - knobs_.unheard_again;
-        std::erase_if(unheard_until_, [&](auto const& entry) { return entry.second <= now + left; });
+        auto const left = parameters_.avoidance_period - parameters_.disconnected_retry;
+        std::erase_if(disconnected_until_, [&](auto const& entry) { return entry.second <= now + left; });
     }
     auto const zone_relays = relays(peers, !turned_away);
     auto const is_relay = contains_self(zone_relays);
@@ -135,8 +137,8 @@
         peer = pick(fleet_readers);
     if (peer != nullptr)
         return { Upstream::Source::Peer, *peer };
-    auto const store_answers = store_answered_ && now - *store_answered_ < knobs_.avoid_for;
-    auto const store_unheard = !unheard_until_.empty() || !starting_until_.empty();
+    auto const store_answers = store_answered_ && now - *store_answered_ < parameters_.avoidance_period;
+    auto const store_unheard = !disconnected_until_.empty() || !starting_until_.empty();
     if (!store_unheard || is_relay || asks_again || store_answers || may_probe(peers.size() + 1, now))
         return {};
     return { Upstream::Source::Nobody, {} };
@@ -149,15 +151,15 @@
         return false;
     if (!relays_starting_since_)
         relays_starting_since_ = now;
-    return now - *relays_starting_since_ < knobs_.start_patience;
+    return now - *relays_starting_since_ < parameters_.relay_start_wait_limit;
 }
 
 bool UpstreamSelector::may_probe(std::size_t nodes, Time now)
 {
-    auto const interval = knobs_.probe_pause * static_cast<int>(nodes);
+    auto const interval = parameters_.probe_interval_per_node * static_cast<int>(nodes);
     // After a time when it was heard.
     if (!next_probe_ || *next_probe_ + interval < now) {
-        auto const spread = std::min(interval, knobs_.first_probes);
+        auto const spread = std::min(interval, parameters_.initial_probe_spread);
         next_probe_ = now + spread * static_cast<int>(HashText(self_.node) % nodes) / static_cast<int>(nodes);
     }
     if (now < *next_probe_)
--- a/src/runtime/node_driver.cc
+++ b/src/runtime/node_driver.cc
@@ -28,18 +28,18 @@
 
 }  // namespace
 
-NodeDriver::NodeDriver(const Settings& settings, const Knobs& knobs, AnswerSink& sink)
-    : knobs_(knobs),
+NodeDriver::NodeDriver(const Settings& settings, const Parameters& parameters, AnswerSink& sink)
+    : parameters_(parameters),
       sink_(sink),
-      node_(MakeIdentity(settings), knobs, std::random_device{}()),
+      node_(MakeIdentity(settings), parameters, std::random_device{}()),
       engines_(http_, [this](Event event) { Post(std::move(event)); }),
       platform_(http_, settings.platform_url,
-                std::chrono::duration_cast<std::chrono::milliseconds>(knobs.store_timeout),
+                std::chrono::duration_cast<std::chrono::milliseconds>(parameters.store_timeout),
                 [this](Event event) { Post(std::move(event)); }) {}
 
-absl::StatusOr<std::unique_ptr<NodeDriver>> NodeDriver::Start(const Settings& settings, const Knobs& knobs,
+absl::StatusOr<std::unique_ptr<NodeDriver>> NodeDriver::Start(const Settings& settings, const Parameters& parameters,
                                                               AnswerSink& sink) {
-  std::unique_ptr<NodeDriver> driver(new NodeDriver(settings, knobs, sink));
+  std::unique_ptr<NodeDriver> driver(new NodeDriver(settings, parameters, sink));
   absl::StatusOr<std::vector<Machine>> seeds = ParseSeeds(settings.seeds);
   if (!seeds.ok()) return seeds.status();
   absl::StatusOr<std::unique_ptr<PeerTransport>> peers = PeerTransport::Start(
@@ -91,7 +91,7 @@
     }
     if (BootNow() >= next_tick) {
       events.emplace_back(Tick{});
-      next_tick = BootNow() + knobs_.tick_interval;
+      next_tick = BootNow() + parameters_.tick_interval;
     }
     const bool ticked = !events.empty() && std::holds_alternative<Tick>(events.back());
     for (const Event& event : events) {
--- a/src/runtime/node_driver.h
+++ b/src/runtime/node_driver.h
@@ -32,7 +32,7 @@
 class NodeDriver {
  public:
   // Listens for peers and starts the core's thread. `sink` outlives the driver.
-  static absl::StatusOr<std::unique_ptr<NodeDriver>> Start(const Settings& settings, const Knobs& knobs,
+  static absl::StatusOr<std::unique_ptr<NodeDriver>> Start(const Settings& settings, const Parameters& parameters,
                                                            AnswerSink& sink);
   ~NodeDriver();
   NodeDriver(const NodeDriver&) = delete;
@@ -49,7 +49,7 @@
   void WaitForExit();
 
  private:
-  NodeDriver(const Settings& settings, const Knobs& knobs, AnswerSink& sink);
+  NodeDriver(const Settings& settings, const Parameters& parameters, AnswerSink& sink);
   void Run();
   void Execute(const Action& action);
   void Publish();
@@ -70,7 +70,7 @@
   void On(const WriteLog& action);
   void On(const ExitProcess&);
 
-  Knobs knobs_;
+  Parameters parameters_;
   AnswerSink& sink_;
   Node node_;
   HttpClient http_;
--- a/src/runtime/node_server.cc
+++ b/src/runtime/node_server.cc
@@ -67,9 +67,9 @@
 
 }  // namespace
 
-absl::StatusOr<std::unique_ptr<NodeServer>> NodeServer::Start(const Settings& settings, const Knobs& knobs) {
+absl::StatusOr<std::unique_ptr<NodeServer>> NodeServer::Start(const Settings& settings, const Parameters& parameters) {
   std::unique_ptr<NodeServer> server(new NodeServer());
-  absl::StatusOr<std::unique_ptr<NodeDriver>> driver = NodeDriver::Start(settings, knobs, *server);
+  absl::StatusOr<std::unique_ptr<NodeDriver>> driver = NodeDriver::Start(settings, parameters, *server);
   if (!driver.ok()) return driver.status();
   server->driver_ = std::move(*driver);
   HttpServerOptions options;
--- a/src/runtime/node_server.h
+++ b/src/runtime/node_server.h
@@ -17,7 +17,7 @@
 class NodeServer : public AnswerSink {
  public:
   // Starts the driver and listens for callers.
-  static absl::StatusOr<std::unique_ptr<NodeServer>> Start(const Settings& settings, const Knobs& knobs);
+  static absl::StatusOr<std::unique_ptr<NodeServer>> Start(const Settings& settings, const Parameters& parameters);
   ~NodeServer() override;
 
   std::uint16_t http_port() const { return http_->port(); }
--- a/src/simulation/callers.cc
+++ b/src/simulation/callers.cc
@@ -216,7 +216,7 @@
   const bool spent = work.reached_node && work.retries_left-- <= 0;
   // Keys are remembered for a while only; callers know for how long.
   const Duration key_age = world_.queue().now() + after - work.submitted_at;
-  const Duration key_lasts = world_.options().knobs.record_window - kKeyMargin;
+  const Duration key_lasts = world_.options().parameters.record_window - kKeyMargin;
   const bool key_too_old = !work.kind->repeatable && work.unsettled && key_age > key_lasts;
   if (spent || key_too_old || work.submissions >= kMostSubmissions) return End(work, otherwise);
   work.reached_node = false;
--- a/src/simulation/capacity_command.cc
+++ b/src/simulation/capacity_command.cc
@@ -91,7 +91,7 @@
     std::cerr << MessageOf(settings) << "\n";
     return kExitWrongUse;
   }
-  options.knobs = KnobsForCell(options.nodes / options.cells);
+  options.parameters = ParametersForCell(options.nodes / options.cells);
   const Json json = CostsJson(options, RunHollowFleet(options, arguments.first_seed));
   std::cout << (arguments.json ? json.dump() : json.dump(2)) << "\n";
   return EXIT_SUCCESS;
--- a/src/simulation/experiment.cc
+++ b/src/simulation/experiment.cc
@@ -28,15 +28,15 @@
 
 SimulationOptions OptionsFor(const Experiment& experiment, const Policy& policy) {
   SimulationOptions options = experiment.options;
-  Knobs& knobs = options.knobs;
-  knobs.routing_policy = policy.routing;
-  knobs.role_control = policy.role_control;
+  Parameters& parameters = options.parameters;
+  parameters.routing_policy = policy.routing;
+  parameters.role_control = policy.role_control;
   if (!policy.hysteresis) {
-    knobs.role_gain_threshold = 0;
-    knobs.role_reversal_factor = 1;
-    knobs.role_change_cost = Duration{0};
-    knobs.role_engine_cooldown = Duration{0};
-    knobs.role_pool_cooldown = Duration{0};
+    parameters.role_gain_threshold = 0;
+    parameters.role_reversal_factor = 1;
+    parameters.role_change_cost = Duration{0};
+    parameters.role_engine_cooldown = Duration{0};
+    parameters.role_pool_cooldown = Duration{0};
   }
   return options;
 }
--- a/src/simulation/hollow_fleet.cc
+++ b/src/simulation/hollow_fleet.cc
@@ -132,24 +132,24 @@
   return costs;
 }
 
-Knobs KnobsForCell(int nodes_in_cell) {
-  Knobs knobs;
-  if (nodes_in_cell <= 12) return knobs;
-  knobs.tick_interval = 100ms;
-  knobs.probe_interval = 1s;
-  knobs.probe_timeout = 500ms;
-  knobs.suspect_timeout = 3s;
-  knobs.updates_per_probe = 4;
-  knobs.contact_timeout = 30s;
-  knobs.load_read_interval = 2s;
-  knobs.load_spread_min_interval = 1s;
-  knobs.load_budget_bytes_per_second = 500;
-  knobs.load_expiry = 30s;
-  knobs.store_poll_interval = 1s;
-  knobs.machine_poll_interval = 2s;
-  knobs.view_settle_time = 3s;
-  knobs.view_proposal_pause = 10s;
-  return knobs;
+Parameters ParametersForCell(int nodes_in_cell) {
+  Parameters parameters;
+  if (nodes_in_cell <= 12) return parameters;
+  parameters.tick_interval = 100ms;
+  parameters.probe_interval = 1s;
+  parameters.probe_timeout = 500ms;
+  parameters.suspect_timeout = 3s;
+  parameters.updates_per_probe = 4;
+  parameters.contact_timeout = 30s;
+  parameters.load_read_interval = 2s;
+  parameters.load_spread_min_interval = 1s;
+  parameters.load_budget_bytes_per_second = 500;
+  parameters.load_expiry = 30s;
+  parameters.store_poll_interval = 1s;
+  parameters.machine_poll_interval = 2s;
+  parameters.view_settle_time = 3s;
+  parameters.view_proposal_pause = 10s;
+  return parameters;
 }
 
 HollowCosts RunHollowFleet(const HollowOptions& options, std::uint64_t seed) {
--- a/src/simulation/hollow_fleet.h
+++ b/src/simulation/hollow_fleet.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "src/core/knobs.h"
+#include "src/core/parameters.h"
 
 namespace saltquay {
 
@@ -24,12 +24,12 @@
   double zone_lost_at = -1;
   double platform_cut_at = -1;  // Cells lose the store, as regions cut off do.
   double lost_for_seconds = 20;
-  Knobs knobs;
+  Parameters parameters;
 };
 
-// Knobs for cells of this many nodes: what is right for six nodes would spend
+// Parameters for cells of this many nodes: what is right for six nodes would spend
 // the budget of eighty.
-Knobs KnobsForCell(int nodes_in_cell);
+Parameters ParametersForCell(int nodes_in_cell);
 
 // Costs of a node, by what they are for.
 struct HollowCosts {
--- a/src/simulation/hollow_world.cc
+++ b/src/simulation/hollow_world.cc
@@ -75,7 +75,7 @@
   HollowNode& node = nodes_[index];
   ++node.life;
   const NodeIdentity identity{NodeIncarnation{NodeId{node.machine.id}, BootId{++last_boot_}}, node.machine.zone};
-  node.node = std::make_unique<Node>(identity, options_.knobs, random_.Bits());
+  node.node = std::make_unique<Node>(identity, options_.parameters, random_.Bits());
   node.generation = 0;
   Tick(index, node.life);
 }
@@ -83,7 +83,7 @@
 void HollowFleet::Tick(std::size_t index, std::uint64_t life) {
   if (nodes_[index].node == nullptr || nodes_[index].life != life) return;
   Handle(index, saltquay::Tick{});
-  queue_.After(options_.knobs.tick_interval, [this, index, life] { Tick(index, life); });
+  queue_.After(options_.parameters.tick_interval, [this, index, life] { Tick(index, life); });
 }
 
 void HollowFleet::Handle(std::size_t index, const Event& event) {
--- a/src/simulation/node_process.cc
+++ b/src/simulation/node_process.cc
@@ -25,7 +25,7 @@
   queued_.clear();
   held_.clear();
   const NodeIdentity identity{NodeIncarnation{id(), world_.NextBoot()}, machine_.zone};
-  node_ = std::make_unique<Node>(identity, world_.options().knobs, world_.random().Bits());
+  node_ = std::make_unique<Node>(identity, world_.options().parameters, world_.random().Bits());
   std::vector<Machine> seeds;
   for (const auto& [other_id, other] : world_.nodes()) {
     if (seeds.size() < 3) seeds.push_back(other->machine());
@@ -70,7 +70,7 @@
 }
 
 void NodeProcess::ScheduleTick() {
-  const Duration interval = world_.options().knobs.tick_interval;
+  const Duration interval = world_.options().parameters.tick_interval;
   const std::uint64_t life = life_;
   world_.queue().After(interval, [this, life] {
     if (!alive() || life_ != life) return;
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -7,7 +7,7 @@
 
 #include "src/base/status.h"
 #include "src/base/time.h"
-#include "src/core/knobs.h"
+#include "src/core/parameters.h"
 
 namespace saltquay {
 
@@ -34,11 +34,11 @@
   double rolls = 0;
 };
 
-// Production knobs, but for a shorter record window, so that a run outlasts it.
-inline Knobs SimulationKnobs() {
-  Knobs knobs;
-  knobs.record_window = 10s;
-  return knobs;
+// Production parameters, but for a shorter record window, so that a run outlasts it.
+inline Parameters SimulationParameters() {
+  Parameters parameters;
+  parameters.record_window = 10s;
+  return parameters;
 }
 
 struct SimulationOptions {
@@ -71,7 +71,7 @@
   FaultRates faults;
   double goodput_floor = 0;  // Least share of requests completed in the faulty part.
   bool trace = false;
-  Knobs knobs = SimulationKnobs();
+  Parameters parameters = SimulationParameters();
 };
 
 // Sets one option by name from text, as `--set key=value` does.
--- a/tests/admission/reading_order_test.cc
+++ b/tests/admission/prefill_queue_test.cc
@@ -1,5 +1,5 @@
 // Which of the waiting prompts goes next, by each order.
-#include "saltquay/admission/reading_order.h"
+#include "saltquay/admission/prefill_queue.h"
 
 #include <set>
 
@@ -10,23 +10,23 @@
 
 namespace {
 
-WaitingPrompt prompt(PromptId id, double cost_ms, Time full_worth_until = Time { 10s }, int urgency = 0)
+QueuedPrompt prompt(PromptId id, double prefill_cost_ms, Time prefill_deadline = Time { 10s }, int route_priority = 0)
 {
-    WaitingPrompt prompt;
+    QueuedPrompt prompt;
     prompt.id = id;
     prompt.arrived = Time { 1s } + Duration { static_cast<std::int64_t>(id) };
-    prompt.full_worth_until = full_worth_until;
+    prompt.prefill_deadline = prefill_deadline;
     prompt.ends = Time { 20s };
-    prompt.urgency = urgency;
-    prompt.cost_ms = cost_ms;
+    prompt.route_priority = route_priority;
+    prompt.prefill_cost_ms = prefill_cost_ms;
     return prompt;
 }
 
-PromptId first(ReadingOrder& order, Time now) { return order.next(now, 1).at(0).id; }
+PromptId first(PrefillQueue& order, Time now) { return order.next(now, 1).at(0).id; }
 
 TEST(WorthOrderTest, CheapPromptsOfTheMostUrgentRouteGoFirst)
 {
-    auto const order = make_reading_order(OrderPolicy::Worth);
+    auto const order = make_prefill_queue(QueuePolicy::ValuePerCost);
     order->add(prompt(1, 40));
     order->add(prompt(2, 10));
     order->add(prompt(3, 1, Time { 10s }, 1));
@@ -39,7 +39,7 @@
 
 TEST(WorthOrderTest, WhatMissesItsObjectiveGoesAfterWhatDoesNotByArrival)
 {
-    auto const order = make_reading_order(OrderPolicy::Worth);
+    auto const order = make_prefill_queue(QueuePolicy::ValuePerCost);
     order->add(prompt(1, 40, Time { 3s }));
     order->add(prompt(2, 10, Time { 3s }));
     order->add(prompt(3, 90));
@@ -53,7 +53,7 @@
 
 TEST(WorthOrderTest, WhatIsCommittedIsNotOvertaken)
 {
-    auto const order = make_reading_order(OrderPolicy::Worth);
+    auto const order = make_prefill_queue(QueuePolicy::ValuePerCost);
     order->add(prompt(1, 40, Time { 3s }));
     order->commit(1);
     order->add(prompt(2, 10));
@@ -66,17 +66,17 @@
 
 TEST(ArrivalOrderTest, GoesByArrivalWhateverThePromptsCost)
 {
-    auto const order = make_reading_order(OrderPolicy::FirstCome);
+    auto const order = make_prefill_queue(QueuePolicy::FirstComeFirstServed);
     order->add(prompt(2, 1));
     order->add(prompt(1, 90));
     EXPECT_EQ(first(*order, Time { 2s }), 1U);
 }
 
 // Whatever is added, committed and removed, each prompt that is left is offered exactly once.
-RC_GTEST_PROP(ReadingOrderProperty, NoPromptIsLostOrOfferedTwice, ())
+RC_GTEST_PROP(PrefillQueueProperty, NoPromptIsLostOrOfferedTwice, ())
 {
-    auto const policy = *rc::gen::element(OrderPolicy::Worth, OrderPolicy::FirstCome);
-    auto const order = make_reading_order(policy);
+    auto const policy = *rc::gen::element(QueuePolicy::ValuePerCost, QueuePolicy::FirstComeFirstServed);
+    auto const order = make_prefill_queue(policy);
     std::set<PromptId> present;
     auto const steps = *rc::gen::inRange(1, 60);
     for (auto i = 0; i < steps; ++i) {
--- a/tests/admission/reading_model_test.cc
+++ b/tests/admission/prefill_time_model_test.cc
@@ -1,5 +1,5 @@
 // What the model learns of engines that read at a known pace.
-#include "saltquay/admission/reading_model.h"
+#include "saltquay/admission/prefill_time_model.h"
 
 #include <gtest/gtest.h>
 
@@ -9,17 +9,17 @@
 
 namespace {
 
-TEST(ReadingModelTest, AnswersWithTheFirstRateUntilItHasLearned)
+TEST(PrefillTimeModelTest, AnswersWithTheFirstRateUntilItHasLearned)
 {
-    ReadingModel const model { ReadingModelKnobs {} };
+    PrefillTimeModel const model { PrefillTimeModelParameters {} };
     EXPECT_FALSE(model.learned());
     EXPECT_DOUBLE_EQ(model.predict_ms(3000), 100);
 }
 
 // Half of the readings were slowed by parts that had given way.
-TEST(ReadingModelTest, LearnsFixedPartAndRateAmongReadingsThatWereSlowed)
+TEST(PrefillTimeModelTest, LearnsFixedPartAndRateAmongReadingsThatWereSlowed)
 {
-    ReadingModel model { ReadingModelKnobs {} };
+    PrefillTimeModel model { PrefillTimeModelParameters {} };
     Random random(1);
     for (auto i = 0; i < 400; ++i) {
         auto const tokens = random.Unit() < 0.3 ? 500 : 4000 + static_cast<std::int64_t>(random.Below(8000));
@@ -28,13 +28,13 @@
         model.note(tokens, FromSeconds(milliseconds / 1000));
     }
     EXPECT_NEAR(model.rate(), 200, 40);
-    EXPECT_NEAR(model.fixed_ms(), 8.5, 4);
-    EXPECT_LT(model.typical_rate(), model.rate());
+    EXPECT_NEAR(model.fixed_overhead_ms(), 8.5, 4);
+    EXPECT_LT(model.median_rate(), model.rate());
 }
 
-TEST(ReadingModelTest, ReadingsWithoutSizeOrTimeTellNothing)
+TEST(PrefillTimeModelTest, ReadingsWithoutSizeOrTimeTellNothing)
 {
-    ReadingModel model { ReadingModelKnobs {} };
+    PrefillTimeModel model { PrefillTimeModelParameters {} };
     model.note(0, 5ms);
     model.note(100, 0ms);
     EXPECT_FALSE(model.learned());
--- a/tests/core/authority_test.cc
+++ b/tests/core/authority_test.cc
@@ -138,7 +138,7 @@
   }
 
   struct Seat {
-    explicit Seat(std::uint32_t id) : context(id, Knobs{}, id) {}
+    explicit Seat(std::uint32_t id) : context(id, Parameters{}, id) {}
     TestContext context;
     LeaseKeeper keeper;
     LeaseVoter voter;
--- a/tests/core/dispatch_test.cc
+++ b/tests/core/dispatch_test.cc
@@ -12,7 +12,7 @@
 
 class DispatcherTest : public testing::Test {
  protected:
-  DispatcherTest() : prefixes_(64), dispatcher_(Knobs{}, table_, prefixes_) {
+  DispatcherTest() : prefixes_(64), dispatcher_(Parameters{}, table_, prefixes_) {
     auto rolled = std::make_shared<RolledBundle>();
     rolled->generation = 1;
     rolled->bundle =
@@ -230,10 +230,10 @@
 
 TEST_F(DispatcherTest, SilentRecordersMeanUnknownUnlessItIsTheFirstSubmission) {
   Submit(1, false, false);
-  Pass((*context_).knobs().claim_send_limit);
+  Pass((*context_).parameters().claim_send_limit);
   EXPECT_EQ(Finished().back().outcome, Outcome::kUnknown);
   Submit(2, false, true);
-  Pass((*context_).knobs().claim_send_limit);
+  Pass((*context_).parameters().claim_send_limit);
   EXPECT_EQ(Finished().back().outcome, Outcome::kNotRun);
 }
 
--- a/tests/core/records_test.cc
+++ b/tests/core/records_test.cc
@@ -73,14 +73,14 @@
   done.outcome = Outcome::kCompleted;
   keeper_.OnOutcome(*context_, done);
   EXPECT_EQ(Claim(ClaimBy(3, 1)), ClaimVerdict::kExists);
-  context_.Advance((*context_).knobs().record_window + 1s);
+  context_.Advance((*context_).parameters().record_window + 1s);
   keeper_.OnTick(*context_);
   EXPECT_EQ(Claim(ClaimBy(3, 1)), ClaimVerdict::kGranted);
 }
 
 TEST_F(RecordKeeperTest, BeingAskedForRenewsAKey) {
   EXPECT_EQ(Claim(ClaimBy(2, 1)), ClaimVerdict::kGranted);
-  context_.Advance((*context_).knobs().record_window - 1s);
+  context_.Advance((*context_).parameters().record_window - 1s);
   EXPECT_EQ(Claim(ClaimBy(3, 1)), ClaimVerdict::kExists);
   context_.Advance(2s);
   keeper_.OnTick(*context_);
@@ -94,7 +94,7 @@
   next.predecessors = {ThreeNodes(1).current};
   TestContext context(3);
   RecordKeeper keeper;
-  NodeContext fresh(NodeIdentity{Incarnation(3, 9), ZoneId{3}}, Knobs{}, 1);
+  NodeContext fresh(NodeIdentity{Incarnation(3, 9), ZoneId{3}}, Parameters{}, 1);
   ActionList actions;
   fresh.BeginEvent(context.now(), &actions);
   keeper.OnView(fresh, next);
@@ -112,17 +112,17 @@
 TEST(RecordTransferTest, LostQuorumIsWaitedOut) {
   View next = ThreeNodes(2, 9);
   next.predecessors = {ThreeNodes(1).current};
-  Knobs knobs;
-  NodeContext fresh(NodeIdentity{Incarnation(3, 9), ZoneId{3}}, knobs, 1);
+  Parameters parameters;
+  NodeContext fresh(NodeIdentity{Incarnation(3, 9), ZoneId{3}}, parameters, 1);
   ActionList actions;
   Time now{Duration{1'000'000}};
   fresh.BeginEvent(now, &actions);
   RecordKeeper keeper;
   keeper.OnView(fresh, next);
   const ClaimRequest request{2, ClaimBy(1, 5), {}};
-  fresh.BeginEvent(now + knobs.record_window, &actions);
+  fresh.BeginEvent(now + parameters.record_window, &actions);
   EXPECT_EQ(keeper.OnClaim(fresh, request, true).verdict, ClaimVerdict::kNotReady);
-  fresh.BeginEvent(now + knobs.record_window + knobs.contact_timeout * 2, &actions);
+  fresh.BeginEvent(now + parameters.record_window + parameters.contact_timeout * 2, &actions);
   EXPECT_EQ(keeper.OnClaim(fresh, request, true).verdict, ClaimVerdict::kGranted);
 }
 
@@ -182,7 +182,7 @@
   EXPECT_EQ(result->existing.id, ClaimBy(3, 8).id);
 
   client.Start(*context, view, ClaimBy(1, 0), {});
-  context.Advance((*context).knobs().claim_send_limit);
+  context.Advance((*context).parameters().claim_send_limit);
   const std::vector<ClaimResult> results = client.OnTick(*context, view);
   ASSERT_EQ(results.size(), 1U);
   EXPECT_EQ(results[0].kind, ClaimResult::Kind::kUnavailable);
--- a/tests/core/routing_test.cc
+++ b/tests/core/routing_test.cc
@@ -85,7 +85,7 @@
   machines_[0].state = MachineState::kLeaving;
   table_.SetMachines(machines_);
   EXPECT_NE(Choose(avoiding)->mode, AttemptMode::kPrefill);
-  for (int i = 0; i < 3; ++i) table_.NoteFailure(*context_, EngineId{4});
+  for (int i = 0; i < 3; ++i) table_.RecordFailure(*context_, EngineId{4});
   RouteRequest decode = Request(8000);
   decode.decode_in_zone = ZoneId{1};
   EXPECT_FALSE(Choose(decode).has_value());
@@ -215,16 +215,16 @@
   planner_.NoteChange(*context_, "consulta", EngineId{1}, EngineRole::kDecode);
   context_.Advance(10s);
   const std::optional<RoleChange> soon = Plan(4.6, 1.5);
-  const double needed = (*context_).knobs().role_gain_threshold * (*context_).knobs().role_reversal_factor;
+  const double needed = (*context_).parameters().role_gain_threshold * (*context_).parameters().role_reversal_factor;
   EXPECT_EQ(soon.has_value(), gain_over_cost(first) >= needed);
-  context_.Advance((*context_).knobs().role_reversal_window);
+  context_.Advance((*context_).parameters().role_reversal_window);
   EXPECT_TRUE(Plan(4.6, 1.5).has_value());
 }
 
 TEST_F(RolePlannerTest, FrozenWhenRoleControlIsOff) {
-  Knobs knobs;
-  knobs.role_control = false;
-  TestContext frozen(1, knobs);
+  Parameters parameters;
+  parameters.role_control = false;
+  TestContext frozen(1, parameters);
   EXPECT_FALSE(planner_.Plan(*frozen, *bundle_.FindPool("consulta"), PoolDemand{8, 0.1}, engines_).has_value());
 }
 
--- a/tests/core/serving/leaving_test.cc
+++ b/tests/core/serving/client_disconnect_test.cc
@@ -8,7 +8,7 @@
  protected:
   // The client leaves; every attempt named is cancelled at once, and nothing begins in the next seconds.
   void LeaveAndExpectCancelled(FlowId flow, const std::vector<AttemptId>& attempts) {
-    Send(ClientLeft{flow});
+    Send(ClientDisconnected{flow});
     std::vector<AttemptId> cancelled;
     for (const CancelAttempt& action : All<CancelAttempt>()) cancelled.push_back(action.attempt);
     EXPECT_EQ(cancelled, attempts);
--- a/tests/core/serving/crash_ledger_test.cc
+++ b/tests/core/serving/crash_ledger_test.cc
@@ -19,35 +19,35 @@
 }
 
 TEST(CrashLedgerTest, ThreeLivesOfEnginesMakeAQuarantineAndThreeReportsOfOneDoNot) {
-  CrashLedger ledger{CrashLedgerKnobs{}};
-  for (int i = 0; i < 3; ++i) ledger.NoteEnd(kRequest, EngineKey(std::uint64_t{1}), kNow, kNow);
-  EXPECT_FALSE(ledger.QuarantineLeft(kRequest, kNow).has_value());
-  ledger.NoteEnd(kRequest, EngineKey(std::uint64_t{2}), kNow, kNow);
-  EXPECT_FALSE(ledger.QuarantineLeft(kRequest, kNow).has_value());
-  ledger.NoteEnd(kRequest, EngineKey(std::uint64_t{3}), kNow, kNow);
-  EXPECT_EQ(ledger.QuarantineLeft(kRequest, kNow), CrashLedgerKnobs{}.quarantine);
-  EXPECT_EQ(ledger.InQuarantine(kNow), 1U);
+  CrashLedger ledger{CrashLedgerParameters{}};
+  for (int i = 0; i < 3; ++i) ledger.RecordCrash(kRequest, EngineKey(std::uint64_t{1}), kNow, kNow);
+  EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, kNow).has_value());
+  ledger.RecordCrash(kRequest, EngineKey(std::uint64_t{2}), kNow, kNow);
+  EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, kNow).has_value());
+  ledger.RecordCrash(kRequest, EngineKey(std::uint64_t{3}), kNow, kNow);
+  EXPECT_EQ(ledger.QuarantineRemaining(kRequest, kNow), CrashLedgerParameters{}.quarantine);
+  EXPECT_EQ(ledger.QuarantinedCount(kNow), 1U);
 }
 
 TEST(CrashLedgerTest, AfterTheQuarantineOneMoreEndPutsItBack) {
-  CrashLedger ledger{CrashLedgerKnobs{}};
+  CrashLedger ledger{CrashLedgerParameters{}};
   ledger.Merge(std::vector{End(kRequest, 1), End(kRequest, 2), End(kRequest, 3)}, kNow);
-  const Time later = kNow + CrashLedgerKnobs{}.quarantine;
-  EXPECT_FALSE(ledger.QuarantineLeft(kRequest, later).has_value());
-  ledger.NoteEnd(kRequest, EngineKey(std::uint64_t{4}), later, later);
-  EXPECT_EQ(ledger.QuarantineLeft(kRequest, later), CrashLedgerKnobs{}.quarantine);
+  const Time later = kNow + CrashLedgerParameters{}.quarantine;
+  EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, later).has_value());
+  ledger.RecordCrash(kRequest, EngineKey(std::uint64_t{4}), later, later);
+  EXPECT_EQ(ledger.QuarantineRemaining(kRequest, later), CrashLedgerParameters{}.quarantine);
 }
 
 TEST(CrashLedgerTest, ARunThatEndedWellClearsWhatCameBeforeItHereAndAtOthers) {
-  CrashLedger ledger{CrashLedgerKnobs{}};
-  CrashLedger other{CrashLedgerKnobs{}};
+  CrashLedger ledger{CrashLedgerParameters{}};
+  CrashLedger other{CrashLedgerParameters{}};
   const std::vector<CrashMark> ends = {End(kRequest, 1), End(kRequest, 2), End(kRequest, 3)};
   ledger.Merge(ends, kNow);
   other.Merge(ends, kNow);
   EXPECT_TRUE(ledger.NoteServed(kRequest, kNow + 1s));
-  EXPECT_FALSE(ledger.QuarantineLeft(kRequest, kNow + 1s).has_value());
-  other.Merge(ledger.MarksToTell(kNow + 1s), kNow + 1s);
-  EXPECT_FALSE(other.QuarantineLeft(kRequest, kNow + 1s).has_value());
+  EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, kNow + 1s).has_value());
+  other.Merge(ledger.MarksToReport(kNow + 1s), kNow + 1s);
+  EXPECT_FALSE(other.QuarantineRemaining(kRequest, kNow + 1s).has_value());
   // What a third node still tells of before counts no more.
   ledger.Merge(std::vector{End(kRequest, 1, 2s), End(kRequest, 2, 2s), End(kRequest, 3, 2s)}, kNow + 2s);
   EXPECT_EQ(ledger.Ends(kRequest), 0);
@@ -55,49 +55,49 @@
 }
 
 TEST(CrashLedgerTest, AClearanceThatIsToldInARingIsNoNewsForEver) {
-  CrashLedger first{CrashLedgerKnobs{}};
-  CrashLedger second{CrashLedgerKnobs{}};
+  CrashLedger first{CrashLedgerParameters{}};
+  CrashLedger second{CrashLedgerParameters{}};
   first.Merge(std::vector{End(kRequest, 1)}, kNow);
   first.NoteServed(kRequest, kNow);
   Time now = kNow;
   int news = 0;
   for (int round = 0; round < 100; ++round, now += 100ms) {
-    news += static_cast<int>(second.Merge(first.MarksToTell(now), now + 50ms).size());
-    news += static_cast<int>(first.Merge(second.MarksToTell(now), now + 50ms).size());
+    news += static_cast<int>(second.Merge(first.MarksToReport(now), now + 50ms).size());
+    news += static_cast<int>(first.Merge(second.MarksToReport(now), now + 50ms).size());
   }
   EXPECT_EQ(news, 1);
 }
 
 TEST(CrashLedgerTest, ANodeThatStartsAnewLearnsWhatIsNoNewsAnyMore) {
-  CrashLedger ledger{CrashLedgerKnobs{}};
+  CrashLedger ledger{CrashLedgerParameters{}};
   for (std::uint64_t request = 1; request <= 9; ++request) {
     ledger.Merge(std::vector{End(request, 1), End(request, 2), End(request, 3)}, kNow);
   }
-  CrashLedger fresh{CrashLedgerKnobs{}};
+  CrashLedger fresh{CrashLedgerParameters{}};
   Time now = kNow + 20s;
-  for (int round = 0; round < 5; ++round, now += 400ms) fresh.Merge(ledger.MarksToTell(now), now);
-  EXPECT_EQ(fresh.InQuarantine(now), 9U);
+  for (int round = 0; round < 5; ++round, now += 400ms) fresh.Merge(ledger.MarksToReport(now), now);
+  EXPECT_EQ(fresh.QuarantinedCount(now), 9U);
 }
 
 TEST(CrashLedgerTest, MessagesAndMemoryAreBounded) {
-  CrashLedgerKnobs knobs;
-  CrashLedger ledger{knobs};
+  CrashLedgerParameters parameters;
+  CrashLedger ledger{parameters};
   ledger.Merge(std::vector{End(kRequest, 1), End(kRequest, 2), End(kRequest, 3)}, kNow);
   for (std::uint64_t request = 100; request < 20000; ++request) {
-    ledger.NoteEnd(request, EngineKey(request), kNow + 1s, kNow + 1s);
+    ledger.RecordCrash(request, EngineKey(request), kNow + 1s, kNow + 1s);
   }
-  EXPECT_EQ(ledger.size(), knobs.most_requests);
+  EXPECT_EQ(ledger.size(), parameters.max_ledger_requests);
   // A flood of requests with one end each pushes nothing out of quarantine.
-  EXPECT_TRUE(ledger.QuarantineLeft(kRequest, kNow + 1s).has_value());
-  EXPECT_LE(ledger.MarksToTell(kNow + 1s).size(), knobs.most_news + knobs.repeated);
-  EXPECT_EQ(ledger.MarksToTell(kNow + 1s).front().request, kRequest);
-  ledger.NoteEnd(1, EngineKey(std::uint64_t{1}), kNow + 3000s, kNow + 3000s);
+  EXPECT_TRUE(ledger.QuarantineRemaining(kRequest, kNow + 1s).has_value());
+  EXPECT_LE(ledger.MarksToReport(kNow + 1s).size(), parameters.max_recent_marks + parameters.repeated);
+  EXPECT_EQ(ledger.MarksToReport(kNow + 1s).front().request, kRequest);
+  ledger.RecordCrash(1, EngineKey(std::uint64_t{1}), kNow + 3000s, kNow + 3000s);
   EXPECT_EQ(ledger.size(), 1U);
 }
 
 TEST(CrashLedgerTest, AnEndThatIsToldWithTwoTimesCountsByTheLater) {
   for (const bool earlier_first : {true, false}) {
-    CrashLedger ledger{CrashLedgerKnobs{}};
+    CrashLedger ledger{CrashLedgerParameters{}};
     ledger.Merge(std::vector{End(kRequest, 1, earlier_first ? 9s : 3s)}, kNow);
     ledger.Merge(std::vector{End(kRequest, 1, earlier_first ? 3s : 9s)}, kNow);
     ledger.Merge(std::vector{CrashMark{kRequest, EngineKey{}, 6s}}, kNow);
@@ -118,12 +118,13 @@
   for (std::size_t i = others.size() - 1; i > 0; --i) {
     std::swap(others[i], others[*rc::gen::inRange<std::size_t>(0, i + 1)]);
   }
-  CrashLedger first{CrashLedgerKnobs{}};
-  CrashLedger second{CrashLedgerKnobs{}};
+  CrashLedger first{CrashLedgerParameters{}};
+  CrashLedger second{CrashLedgerParameters{}};
   first.Merge(marks, kNow);
   for (const CrashMark& mark : others) second.Merge(std::span(&mark, 1), kNow);
   for (std::uint64_t request = 1; request < 4; ++request) {
-    RC_ASSERT(first.QuarantineLeft(request, kNow).has_value() == second.QuarantineLeft(request, kNow).has_value());
+    RC_ASSERT(first.QuarantineRemaining(request, kNow).has_value() ==
+              second.QuarantineRemaining(request, kNow).has_value());
   }
 }
 
@@ -144,7 +145,7 @@
   static std::uint64_t Fingerprint(std::uint64_t request) { return HashPair(request, HashText("")); }
   void TellThreeEnds(std::uint64_t request) {
     const std::uint64_t fingerprint = Fingerprint(request);
-    Send(CrashesTold{{End(fingerprint, 1), End(fingerprint, 2), End(fingerprint, 3)}});
+    Send(PeerCrashesReported{{End(fingerprint, 1), End(fingerprint, 2), End(fingerprint, 3)}});
   }
 };
 
@@ -153,8 +154,8 @@
   now_ += 10s;
   ArriveAs("safe", kRequest);
   EXPECT_TRUE(All<StartAttempt>().empty());
-  EXPECT_EQ(One<AnswerOwn>().status, 503);
-  EXPECT_EQ(One<AnswerOwn>().retry_after, CrashLedgerKnobs{}.quarantine - 10s);
+  EXPECT_EQ(One<SendLocalReply>().status, 503);
+  EXPECT_EQ(One<SendLocalReply>().retry_after, CrashLedgerParameters{}.quarantine - 10s);
   ArriveAs("safe", kRequest + 1);
   EXPECT_EQ(All<StartAttempt>().size(), 1U);
 }
@@ -164,7 +165,7 @@
   const auto sent = One<StartAttempt>();
   TellThreeEnds(kRequest);
   EXPECT_EQ(One<CancelAttempt>().attempt, sent.attempt);
-  EXPECT_EQ(One<AnswerOwn>().status, 502);
+  EXPECT_EQ(One<SendLocalReply>().status, 502);
   EXPECT_EQ(core_.flows(), 0U);
 }
 
@@ -173,16 +174,16 @@
   ArriveAs("safe", kRequest);
   EXPECT_TRUE(All<StartAttempt>().empty());
   TellThreeEnds(kRequest);
-  EXPECT_EQ(One<AnswerOwn>().status, 503);
+  EXPECT_EQ(One<SendLocalReply>().status, 503);
 }
 
 TEST_F(QuarantineTest, EndsSeenHereAreToldAtOnce) {
   ArriveAs("once", kRequest);
   const auto start = One<StartAttempt>();
   Fail(start, AttemptFailure::kBroken);
-  Send(EngineChecked{start.engine_id, EngineCheckOutcome::kRefused});
-  EXPECT_EQ(All<TellCrashes>().size(), 1U);
-  const std::vector<CrashMark> marks = core_.crashes().MarksToTell(now_);
+  Send(EngineProbed{start.engine_id, EngineProbeOutcome::kRefused});
+  EXPECT_EQ(All<ReportCrashes>().size(), 1U);
+  const std::vector<CrashMark> marks = core_.crashes().MarksToReport(now_);
   ASSERT_EQ(marks.size(), 1U);
   EXPECT_EQ(marks.front().request, Fingerprint(kRequest));
   EXPECT_EQ(marks.front().engine, EngineKey(start.engine_id));
@@ -191,11 +192,11 @@
 TEST_F(QuarantineTest, AnEndCountsAlsoWhenTheCallerOfWhatMayRunOnceHasLeft) {
   const FlowId flow = ArriveAs("once", kRequest);
   const auto start = One<StartAttempt>();
-  Send(ClientLeft{flow});
+  Send(ClientDisconnected{flow});
   EXPECT_TRUE(All<CancelAttempt>().empty());
   Fail(start, AttemptFailure::kBroken);
-  EXPECT_EQ(One<CheckEngine>().engine_id, start.engine_id);
-  Send(EngineChecked{start.engine_id, EngineCheckOutcome::kRefused});
+  EXPECT_EQ(One<ProbeEngine>().engine_id, start.engine_id);
+  Send(EngineProbed{start.engine_id, EngineProbeOutcome::kRefused});
   EXPECT_EQ(core_.crashes().Ends(Fingerprint(kRequest)), 1);
 }
 
@@ -204,7 +205,7 @@
   const auto first = One<StartAttempt>();
   Fail(first, AttemptFailure::kBroken);
   const auto second = One<StartAttempt>();
-  Send(EngineChecked{first.engine_id, EngineCheckOutcome::kRefused});
+  Send(EngineProbed{first.engine_id, EngineProbeOutcome::kRefused});
   EXPECT_EQ(core_.crashes().Ends(Fingerprint(kRequest)), 1);
   Answer(second, 200);
   EXPECT_EQ(core_.crashes().Ends(Fingerprint(kRequest)), 0);
--- a/tests/core/serving/duty_lease_test.cc
+++ b/tests/core/serving/duty_lease_test.cc
@@ -23,8 +23,8 @@
   EXPECT_EQ(lease_.Next(now_, 0s), LeaseStep::kWrite);
   EXPECT_EQ(lease_.draft().revision, 0);
   lease_.OnWritten(41);
-  EXPECT_TRUE(lease_.MayOrder(now_ + 900ms));
-  EXPECT_FALSE(lease_.MayOrder(now_ + 1s));
+  EXPECT_TRUE(lease_.IsHeldFor(now_ + 900ms));
+  EXPECT_FALSE(lease_.IsHeldFor(now_ + 1s));
   EXPECT_EQ(lease_.token(), 41);
 }
 
@@ -37,7 +37,7 @@
   EXPECT_EQ(lease_.Next(now_ + 6s, 0s), LeaseStep::kWrite);
   EXPECT_EQ(lease_.draft().revision, 30);
   lease_.OnWriteFailed(true, now_ + 6s);  // It was renewed meanwhile: the wait starts anew.
-  EXPECT_FALSE(lease_.MayOrder(now_ + 6s));
+  EXPECT_FALSE(lease_.IsHeldFor(now_ + 6s));
   EXPECT_EQ(lease_.Next(now_ + 7s, 0s), LeaseStep::kRead);
   lease_.OnRead(LeaseRecord{"other", "2.2.2.2:1", 8, 0, 31}, now_ + 7s);
   EXPECT_EQ(lease_.Next(now_ + 8s, 0s), LeaseStep::kNone);
@@ -49,11 +49,11 @@
   lease_.Next(now_, 0s);
   const LeaseRecord draft = lease_.draft();
   lease_.OnWriteFailed(false, now_);
-  EXPECT_FALSE(lease_.MayOrder(now_));
+  EXPECT_FALSE(lease_.IsHeldFor(now_));
   EXPECT_EQ(lease_.Next(now_ + 600ms, 0s), LeaseStep::kRead);
   lease_.OnRead(LeaseRecord{"me", "1.1.1.1:1", draft.nonce, 0, 50}, now_ + 600ms);
-  EXPECT_TRUE(lease_.MayOrder(now_ + 700ms));
-  EXPECT_FALSE(lease_.MayOrder(now_ + 1100ms));  // Counted from before the write.
+  EXPECT_TRUE(lease_.IsHeldFor(now_ + 700ms));
+  EXPECT_FALSE(lease_.IsHeldFor(now_ + 1100ms));  // Counted from before the write.
   EXPECT_EQ(lease_.token(), 50);
 }
 
@@ -86,7 +86,7 @@
 
 TEST_F(LeaseTest, NodesTryByTheirRank) {
   EXPECT_EQ(lease_.Next(Time{100ms}, 0s, 3), LeaseStep::kNone);
-  lease_.OnHeard(LeaseRecord{"other", "2.2.2.2:1", 0, 0, 30}, now_);
+  lease_.OnPeerRecord(LeaseRecord{"other", "2.2.2.2:1", 0, 0, 30}, now_);
   EXPECT_EQ(lease_.Next(now_ + 4500ms, 0s, 3), LeaseStep::kNone);
   EXPECT_EQ(lease_.Next(now_ + 4500ms, 0s, 0), LeaseStep::kWrite);
 }
@@ -94,7 +94,7 @@
 TEST_F(LeaseTest, ALeaseHeardToBeRenewedIsNotTaken) {
   for (int i = 0; i < 20; ++i) {
     now_ += 700ms;
-    lease_.OnHeard(LeaseRecord{"other", "2.2.2.2:1", 0, 0, 30 + i}, now_);
+    lease_.OnPeerRecord(LeaseRecord{"other", "2.2.2.2:1", 0, 0, 30 + i}, now_);
     EXPECT_EQ(lease_.Next(now_ + 600ms, 0s), LeaseStep::kNone);
   }
 }
@@ -104,10 +104,10 @@
   lease_.OnRead(LeaseRecord{}, now_);
   lease_.Next(now_, 0s);
   lease_.OnWritten(41);
-  lease_.OnHeard(LeaseRecord{"me", "1.1.1.1:1", 0, 0, 41}, now_);  // Its own word.
-  EXPECT_TRUE(lease_.MayOrder(now_ + 10ms));
-  lease_.OnHeard(LeaseRecord{"other", "2.2.2.2:1", 0, 0, 50}, now_);
-  EXPECT_FALSE(lease_.MayOrder(now_ + 10ms));
+  lease_.OnPeerRecord(LeaseRecord{"me", "1.1.1.1:1", 0, 0, 41}, now_);  // Its own word.
+  EXPECT_TRUE(lease_.IsHeldFor(now_ + 10ms));
+  lease_.OnPeerRecord(LeaseRecord{"other", "2.2.2.2:1", 0, 0, 50}, now_);
+  EXPECT_FALSE(lease_.IsHeldFor(now_ + 10ms));
 }
 
 TEST_F(LeaseTest, WhoWasFencedLooksAgainBeforeItActs) {
@@ -116,16 +116,16 @@
   lease_.Next(now_, 0s);
   lease_.OnWritten(41);
   lease_.OnFenced();
-  EXPECT_FALSE(lease_.MayOrder(now_ + 10ms));
+  EXPECT_FALSE(lease_.IsHeldFor(now_ + 10ms));
   EXPECT_EQ(lease_.Next(now_ + 20ms, 0s), LeaseStep::kRead);
   lease_.OnRead(LeaseRecord{"other", "2.2.2.2:1", 9, 0, 55}, now_ + 20ms);
   EXPECT_EQ(lease_.Next(now_ + 1s, 0s), LeaseStep::kNone);
-  EXPECT_FALSE(lease_.MayOrder(now_ + 1s));
+  EXPECT_FALSE(lease_.IsHeldFor(now_ + 1s));
 }
 
 TEST_F(LeaseTest, ALeaseThatWasGivenUpIsTakenAtOnceButNotByWhoMayHaveHeldItBefore) {
   DutyLease fresh{"you", "3.3.3.3:1", times_, 300, now_ - 1s};
-  for (DutyLease* lease : {&lease_, &fresh}) lease->OnHeard(LeaseRecord{"", "", 0, 0, 60}, now_);
+  for (DutyLease* lease : {&lease_, &fresh}) lease->OnPeerRecord(LeaseRecord{"", "", 0, 0, 60}, now_);
   EXPECT_EQ(lease_.Next(now_, 0s), LeaseStep::kWrite);
   EXPECT_EQ(fresh.Next(now_, 0s), LeaseStep::kNone);
   EXPECT_EQ(fresh.Next(now_ + 3s, 0s), LeaseStep::kWrite);
@@ -136,11 +136,11 @@
   lease_.OnRead(LeaseRecord{}, now_);
   lease_.Next(now_, 0s);
   lease_.OnWritten(41);
-  const auto record = lease_.GiveUp();
+  const auto record = lease_.Resign();
   ASSERT_TRUE(record);
   EXPECT_EQ(record->holder, "");
   EXPECT_EQ(record->revision, 41);
-  EXPECT_FALSE(lease_.MayOrder(now_));
+  EXPECT_FALSE(lease_.IsHeldFor(now_));
   EXPECT_EQ(lease_.Next(now_ + 60s, 0s), LeaseStep::kNone);
 }
 
@@ -177,13 +177,13 @@
     };
     if (luck == 11) lease = begin(index, now);
     if (luck == 10) {
-      const auto record = lease.GiveUp();
+      const auto record = lease.Resign();
       given_up = given_up || (record && write(*record));
       lease = begin(index, now);
     }
     if (luck >= 8) {
       const auto age = *rc::gen::inRange<std::size_t>(0, std::min<std::size_t>(3, history.size()));
-      lease.OnHeard(history[history.size() - 1 - age], now);
+      lease.OnPeerRecord(history[history.size() - 1 - age], now);
     }
     const LeaseStep next = lease.Next(now, 300ms, *rc::gen::inRange(0, 4));
     if (next == LeaseStep::kRead) luck == 0 ? lease.OnReadFailed(now) : lease.OnRead(history.back(), now);
@@ -194,7 +194,7 @@
       if (!done && answered) lease.OnWriteFailed(true, now);
       if (!answered) lease.OnWriteFailed(false, now);
     }
-    if (!lease.MayOrder(now)) continue;
+    if (!lease.IsHeldFor(now)) continue;
     RC_ASSERT(lease.token() >= last_token);
     if (last_holder >= 0 && last_holder != index) {
       RC_ASSERT(lease.token() > last_token);
--- a/tests/core/serving/engine_end_test.cc
+++ b/tests/core/serving/engine_crash_test.cc
@@ -26,15 +26,15 @@
 
 TEST_F(EngineEndTest, ARefusedConnectionAfterABrokenAnswerIsAnEnd) {
   const StartAttempt start = BreakOne();
-  EXPECT_EQ(One<CheckEngine>().engine_id, start.engine_id);
-  Send(EngineChecked{start.engine_id, EngineCheckOutcome::kRefused});
+  EXPECT_EQ(One<ProbeEngine>().engine_id, start.engine_id);
+  Send(EngineProbed{start.engine_id, EngineProbeOutcome::kRefused});
   EXPECT_TRUE(EndIsLogged());
 }
 
 TEST_F(EngineEndTest, AnEngineThatAcceptsOrSaysNothingHasNotEnded) {
-  for (const auto outcome : {EngineCheckOutcome::kAccepted, EngineCheckOutcome::kUnknown}) {
+  for (const auto outcome : {EngineProbeOutcome::kAccepted, EngineProbeOutcome::kUnknown}) {
     const StartAttempt start = BreakOne();
-    Send(EngineChecked{start.engine_id, outcome});
+    Send(EngineProbed{start.engine_id, outcome});
     EXPECT_FALSE(EndIsLogged());
     Pass(3s);
   }
@@ -53,7 +53,7 @@
     other = start;
   }
   Fail(broken, AttemptFailure::kBroken);
-  Send(EngineChecked{broken.engine_id, EngineCheckOutcome::kRefused});
+  Send(EngineProbed{broken.engine_id, EngineProbeOutcome::kRefused});
   EXPECT_FALSE(EndIsLogged());
   now_ += 100ms;
   Answer(other, 200);
@@ -67,13 +67,13 @@
   record.leaving = true;
   Send(EngineChanged{record});
   Fail(start, AttemptFailure::kBroken);
-  EXPECT_TRUE(All<CheckEngine>().empty());
+  EXPECT_TRUE(All<ProbeEngine>().empty());
 }
 
 TEST_F(EngineEndTest, WhatWasNeverSentAccusesNobody) {
   Arrive("safe");
   Fail(One<StartAttempt>(), AttemptFailure::kNotSent);
-  EXPECT_TRUE(All<CheckEngine>().empty());
+  EXPECT_TRUE(All<ProbeEngine>().empty());
 }
 
 }  // namespace
--- a/tests/core/serving/engine_index_test.cc
+++ b/tests/core/serving/engine_index_test.cc
@@ -27,36 +27,38 @@
     record.stage = stage;
     return record;
   }
-  static PromptFacts Prompt(int shared) {
-    PromptFacts prompt;
+  static PromptMetadata Prompt(int shared) {
+    PromptMetadata prompt;
     prompt.tokens = 9000;
     prompt.parts = {{fmt::format("part-{}", shared), 6000}, {"own", 3000}};
     return prompt;
   }
-  EngineState* Reader(const PromptFacts& prompt, const EngineIds& tried = {}) {
-    return selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, prompt, tried, kNow);
+  EngineState* Reader(const PromptMetadata& prompt, const EngineIds& tried = {}) {
+    return selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, prompt, tried, kNow);
+  }
+  EngineState* Decode(const EngineIds& tried = {}) {
+    return selector_.ChooseDecodeEngine(engines_, "s", "a", tried, kNow);
   }
-  EngineState* Decode(const EngineIds& tried = {}) { return selector_.ChooseDecode(engines_, "s", "a", tried, kNow); }
 
   EngineDirectory engines_{EjectionPolicy{}};
-  EngineSelector selector_{ServingKnobs{}, "a", 7};
+  EngineSelector selector_{ServingParameters{}, "a", 7};
 };
 
 TEST_F(ManyEnginesTest, HomesAreSpreadEvenlyAndAlikeOnAllNodes) {
   constexpr int kParts = 6000;
   EngineIndex index;
-  const Topology topology("b", {}, TopologyKnobs{});
+  const Topology topology("b", {}, TopologyParameters{});
   index.Refresh(engines_, topology);
   const EngineGroup& group = index.GroupOf("s", EngineStage::kPrefill);
   std::map<const EngineState*, int> parts;
   for (int i = 0; i < kParts; ++i) {
-    const PartHomes homes = group.FindHomes(Prompt(i).parts[0].hash, 0, kNow);
+    const HomeEngines homes = group.FindHomeEngines(Prompt(i).parts[0].hash, 0, kNow);
     ASSERT_NE(homes.first, nullptr);
     ASSERT_NE(homes.second, nullptr);
     EXPECT_NE(homes.first, homes.second);
     ++parts[homes.first];
     if (i < 50) {
-      selector_.NotePrompt(homes.first->key, Prompt(i), kNow);
+      selector_.RecordPrefill(homes.first->key, Prompt(i), kNow);
       EXPECT_EQ(Reader(Prompt(i)), homes.first);
     }
   }
@@ -65,28 +67,29 @@
 
 TEST_F(ManyEnginesTest, AHomeThatIsLostMovesItsOwnPartsOnlyAndToItsSecond) {
   EngineIndex index;
-  const Topology topology("a", {}, TopologyKnobs{});
+  const Topology topology("a", {}, TopologyParameters{});
   index.Refresh(engines_, topology);
-  std::map<int, PartHomes> before;
+  std::map<int, HomeEngines> before;
   for (int i = 0; i < 500; ++i) {
-    before[i] = index.GroupOf("s", EngineStage::kPrefill).FindHomes(Prompt(i).parts[0].hash, 0, kNow);
+    before[i] = index.GroupOf("s", EngineStage::kPrefill).FindHomeEngines(Prompt(i).parts[0].hash, 0, kNow);
   }
   const EngineState* lost = before[0].first;
   engines_.Find(lost->record.id)->ejected_until = kNow + 1s;
   for (const auto& [part, homes] : before) {
-    const PartHomes after = index.GroupOf("s", EngineStage::kPrefill).FindHomes(Prompt(part).parts[0].hash, 0, kNow);
+    const HomeEngines after =
+        index.GroupOf("s", EngineStage::kPrefill).FindHomeEngines(Prompt(part).parts[0].hash, 0, kNow);
     EXPECT_EQ(after.first, homes.first == lost ? homes.second : homes.first);
   }
 }
 
 TEST_F(ManyEnginesTest, AKeeperIsFoundAmongAll) {
-  const PromptFacts prompt = Prompt(1);
+  const PromptMetadata prompt = Prompt(1);
   EngineState* home = Reader(prompt);
   home->outstanding_prompt_tokens = 400'000;  // Far too much to wait for.
   EngineState* keeper = engines_.Find("p17");
-  selector_.NotePrompt(keeper->key, prompt, kNow);
+  selector_.RecordPrefill(keeper->key, prompt, kNow);
   EXPECT_EQ(selector_.FindCopySource(engines_, *home, prompt, kNow), keeper);
-  EXPECT_DOUBLE_EQ(selector_.LeastReadingMs(engines_, "s", prompt, kNow), 3000 / selector_.read_rate());
+  EXPECT_DOUBLE_EQ(selector_.MinPrefillMs(engines_, "s", prompt, kNow), 3000 / selector_.read_rate());
 }
 
 TEST_F(ManyEnginesTest, WhatIsFreeIsFoundWhereverItIs) {
@@ -106,7 +109,7 @@
 }
 
 TEST_F(ManyEnginesTest, EnginesThatComeOrGoAreKnownAtOnce) {
-  const PromptFacts prompt = Prompt(3);
+  const PromptMetadata prompt = Prompt(3);
   const std::string home = Reader(prompt)->record.id;
   EngineRecord leaving = engines_.Find(home)->record;
   leaving.leaving = true;
--- a/tests/core/serving/engine_lives_test.cc
+++ b/tests/core/serving/engine_restart_test.cc
@@ -18,12 +18,12 @@
   const EngineKey key_before = before.key;
   before.outstanding = 3;
   before.ejected_until = Time{9s};
-  engines.NoteLoad("e", {4, 5, 8}, Time{1s});
+  engines.RecordLoad("e", {4, 5, 8}, Time{1s});
   record.started_ms = 2000;
   EXPECT_TRUE(engines.Update(record));
   const EngineState& after = *engines.Find("e");
   EXPECT_EQ(after.outstanding, 0);
-  EXPECT_FALSE(after.ever_told);
+  EXPECT_FALSE(after.has_reported_load);
   EXPECT_EQ(after.ejected_until, Time{});
   EXPECT_NE(after.key, key_before);
 }
--- a/tests/core/serving/beliefs_test.cc
+++ b/tests/core/serving/engine_selection_test.cc
@@ -8,7 +8,7 @@
 
 #include "src/core/serving/engine_selector.h"
 #include "src/core/serving/peer_table.h"
-#include "src/core/serving/retry_allowance.h"
+#include "src/core/serving/retry_budget_share.h"
 
 namespace saltquay::serving {
 namespace {
@@ -40,12 +40,12 @@
   EngineDirectory engines{EjectionPolicy{}};
   engines.Update(Record("e", EngineStage::kUniform));
   Time now{1s};
-  EXPECT_FALSE(engines.NoteFailure("e", "x", now));
-  const auto first = engines.NoteFailure("e", "x", now);
+  EXPECT_FALSE(engines.RecordFailure("e", "x", now));
+  const auto first = engines.RecordFailure("e", "x", now);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->span, 1s);
   now += 1100ms;
-  const auto second = engines.NoteFailure("e", "x", now);
+  const auto second = engines.RecordFailure("e", "x", now);
   ASSERT_TRUE(second);
   EXPECT_EQ(second->span, 2s);
 }
@@ -56,13 +56,13 @@
   bool ejected = false;
   for (int i = 0; i < 40; ++i) {
     for (const char* id : {"a", "b", "c"})
-      ejected = ejected || engines.NoteAnswer(id, i % 2 == 0, Time{1s}).has_value();
+      ejected = ejected || engines.RecordResponse(id, i % 2 == 0, Time{1s}).has_value();
   }
   EXPECT_FALSE(ejected);  // All alike: taking one out would help nobody.
   for (int i = 0; i < 40 && !ejected; ++i) {
-    engines.NoteAnswer("a", false, Time{1s});
-    engines.NoteAnswer("b", false, Time{1s});
-    ejected = engines.NoteAnswer("c", true, Time{1s}).has_value();
+    engines.RecordResponse("a", false, Time{1s});
+    engines.RecordResponse("b", false, Time{1s});
+    ejected = engines.RecordResponse("c", true, Time{1s}).has_value();
   }
   EXPECT_TRUE(ejected);
 }
@@ -79,14 +79,14 @@
   // On 295 nodes each of 20 dark engines would have to hurt each node once.
   EngineDirectory engines{EjectionPolicy{}};
   for (const char* id : {"a", "b", "c", "d"}) engines.Update(Record(id, EngineStage::kDecode));
-  EXPECT_TRUE(engines.JudgeByAll(Seen("a", 0, 2), 0.5, Time{1s}).empty());
-  EXPECT_TRUE(engines.JudgeByAll(Seen("a", 1, 3), 0.5, Time{1s}).empty());  // It answers somebody.
-  const auto changes = engines.JudgeByAll(Seen("a", 0, 3), 0.5, Time{1s});
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(Seen("a", 0, 2), 0.5, Time{1s}).empty());
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(Seen("a", 1, 3), 0.5, Time{1s}).empty());  // It answers somebody.
+  const auto changes = engines.EjectByFleetOutcomes(Seen("a", 0, 3), 0.5, Time{1s});
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].engine, "a");
-  EXPECT_TRUE(engines.Find("a")->IsOut(Time{3900ms}));
-  EXPECT_FALSE(engines.Find("a")->IsOut(Time{4100ms}));
-  EXPECT_TRUE(engines.JudgeByAll(Seen("a", 0, 9), 0.5, Time{2s}).empty());  // It is out already.
+  EXPECT_TRUE(engines.Find("a")->IsOutOfService(Time{3900ms}));
+  EXPECT_FALSE(engines.Find("a")->IsOutOfService(Time{4100ms}));
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(Seen("a", 0, 9), 0.5, Time{2s}).empty());  // It is out already.
 }
 
 TEST(EngineDirectoryTest, ErrorsOfAllNodesEjectOnlyWhatIsWorseThanTheOthers) {
@@ -96,9 +96,9 @@
     engines.Update(Record(id, EngineStage::kDecode));
     alike.merge(Seen(id, 10, 10));
   }
-  EXPECT_TRUE(engines.JudgeByAll(alike, 0, Time{1s}).empty());
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(alike, 0, Time{1s}).empty());
   alike["b"].answers = alike["c"].answers = alike["d"].answers = 60;
-  const auto changes = engines.JudgeByAll(alike, 0, Time{1s});
+  const auto changes = engines.EjectByFleetOutcomes(alike, 0, Time{1s});
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].engine, "a");
 }
@@ -113,7 +113,7 @@
 }
 
 TEST(RetryAllowanceTest, ANodeThatKnowsNoPeersHasNoPartOfTheSlack) {
-  RetryAllowance allowance(RetryBudgetBounds{0.2, 10s, 630, 0.8});
+  RetryBudgetShare allowance(RetryBudgetBounds{0.2, 10s, 630, 0.8});
   EXPECT_FALSE(allowance.TryTake("s", Time{1s}));
   allowance.set_nodes(295, Time{1s});
   EXPECT_TRUE(allowance.TryTake("s", Time{1s}));
@@ -122,7 +122,7 @@
 
 // A lost node's share is not taken over while it may be cut off and spend it.
 TEST(RetryAllowanceTest, NodesThatWereLostKeepTheirShareForTheRememberedWindows) {
-  RetryAllowance allowance(RetryBudgetBounds{0, 10s, 630, 0.8, 3});
+  RetryBudgetShare allowance(RetryBudgetBounds{0, 10s, 630, 0.8, 3});
   allowance.set_nodes(295, Time{1s});
   allowance.set_nodes(100, Time{3s});
   EXPECT_LT(allowance.Left("s", Time{9s}), 2);
@@ -133,7 +133,7 @@
 }
 
 TEST(RetryAllowanceTest, AProcessThatFollowsAnotherHasNoPartOfTheSlackForAWindow) {
-  RetryAllowance allowance(RetryBudgetBounds{0.5, 10s, 54, 1.0});
+  RetryBudgetShare allowance(RetryBudgetBounds{0.5, 10s, 54, 1.0});
   allowance.BeginAfterRestart(Time{1s});
   allowance.set_nodes(1, Time{1s});
   EXPECT_FALSE(allowance.TryTake("s", Time{2s}));
@@ -146,13 +146,13 @@
 RC_GTEST_PROP(RetryAllowanceProperty, AllNodesTogetherKeepTheBudget, ()) {
   const int nodes = *rc::gen::inRange(1, 12);
   const RetryBudgetBounds bounds{0.2, 10s, 54, 0.8};
-  std::vector<RetryAllowance> allowances(static_cast<std::size_t>(nodes), RetryAllowance(bounds));
-  for (RetryAllowance& allowance : allowances) allowance.set_nodes(nodes, Time{1s});
+  std::vector<RetryBudgetShare> allowances(static_cast<std::size_t>(nodes), RetryBudgetShare(bounds));
+  for (RetryBudgetShare& allowance : allowances) allowance.set_nodes(nodes, Time{1s});
   int requests = 0;
   int extras = 0;
   const int events = *rc::gen::inRange(0, 400);
   for (int i = 0; i < events; ++i) {
-    RetryAllowance& allowance = allowances[static_cast<std::size_t>(*rc::gen::inRange(0, nodes))];
+    RetryBudgetShare& allowance = allowances[static_cast<std::size_t>(*rc::gen::inRange(0, nodes))];
     if (*rc::gen::inRange(0, 3) == 0) {
       allowance.NoteRequest("s", Time{1s});
       ++requests;
@@ -164,7 +164,7 @@
 }
 
 TEST(RetryAllowanceTest, WhatIsOlderThanTheWindowIsForgotten) {
-  RetryAllowance allowance(RetryBudgetBounds{0, 10s, 10, 1.0});
+  RetryBudgetShare allowance(RetryBudgetBounds{0, 10s, 10, 1.0});
   allowance.set_nodes(1, Time{1s});
   for (int i = 0; i < 5; ++i) EXPECT_TRUE(allowance.TryTake("s", Time{1s}));
   EXPECT_FALSE(allowance.TryTake("s", Time{5s}));
@@ -173,15 +173,15 @@
 
 class SelectorTest : public ::testing::Test {
  protected:
-  static PromptFacts Prompt(const std::string& part) {
-    PromptFacts prompt;
+  static PromptMetadata Prompt(const std::string& part) {
+    PromptMetadata prompt;
     prompt.tokens = 17000;
     prompt.parts = {{part, 13000}, {"own", 4000}};
     return prompt;
   }
   EngineDirectory engines_{EjectionPolicy{}};
-  EngineSelector selector_{ServingKnobs{}, "a", 1};
-  EngineSelector other_node_{ServingKnobs{}, "a", 99};
+  EngineSelector selector_{ServingParameters{}, "a", 1};
+  EngineSelector other_node_{ServingParameters{}, "a", 99};
 };
 
 TEST_F(SelectorTest, NodesAgreeOnHomesAndAnEnginesLossMovesOnlyItsParts) {
@@ -189,61 +189,64 @@
   std::map<std::string, std::string> homes;
   for (int part = 0; part < 60; ++part) {
     const std::string name = "part" + std::to_string(part);
-    EngineState* home = selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt(name), {}, Time{1s});
-    EXPECT_EQ(home, other_node_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt(name), {}, Time{1s}));
+    EngineState* home = selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt(name), {}, Time{1s});
+    EXPECT_EQ(home, other_node_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt(name), {}, Time{1s}));
     homes[name] = home->record.id;
   }
   engines_.Remove("p3");
   for (const auto& [part, home] : homes) {
     if (home == "p3") continue;
-    EXPECT_EQ(selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt(part), {}, Time{1s})->record.id,
-              home);
+    EXPECT_EQ(
+        selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt(part), {}, Time{1s})->record.id,
+        home);
   }
 }
 
 TEST_F(SelectorTest, ABacklogLargerThanReadingAgainSendsThePromptElsewhere) {
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
-  EngineState* home = selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
-  selector_.NotePrompt(home->record.id, Prompt("x"), Time{1s});
+  EngineState* home = selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
+  selector_.RecordPrefill(home->record.id, Prompt("x"), Time{1s});
   home->outstanding_prompt_tokens = 10000;
-  EXPECT_EQ(selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s}), home);
+  EXPECT_EQ(selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s}), home);
   home->outstanding_prompt_tokens = 60000;
-  EXPECT_NE(selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s}), home);
+  EXPECT_NE(selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s}), home);
 }
 
 TEST_F(SelectorTest, PeersNewsSayWhoKeepsAPart) {
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
-  const EngineState* home = selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
+  const EngineState* home =
+      selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
   const std::string keeper = home->record.id == "p0" ? "p1" : "p0";
-  other_node_.NotePrompt(keeper, Prompt("x"), Time{1s});
-  const std::vector<KeptPart> news = other_node_.NewsSince(Time{0s});
+  other_node_.RecordPrefill(keeper, Prompt("x"), Time{1s});
+  const std::vector<KeptPart> news = other_node_.CacheUpdatesSince(Time{0s});
   ASSERT_EQ(news.size(), 1U);
-  selector_.NoteKept(news[0], Time{1s});
-  EXPECT_EQ(selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{2s})->record.id, keeper);
-  EXPECT_EQ(selector_.TokensToRead(keeper, Prompt("x"), Time{2s}), 4000);
-  EXPECT_EQ(selector_.TokensToRead(keeper, Prompt("x"), Time{60s}), 17000);  // Long unused: not counted on.
-  EXPECT_TRUE(other_node_.NewsSince(Time{5s}).empty());
+  selector_.RecordCachedPart(news[0], Time{1s});
+  EXPECT_EQ(selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{2s})->record.id,
+            keeper);
+  EXPECT_EQ(selector_.TokensToPrefill(keeper, Prompt("x"), Time{2s}), 4000);
+  EXPECT_EQ(selector_.TokensToPrefill(keeper, Prompt("x"), Time{60s}), 17000);  // Long unused: not counted on.
+  EXPECT_TRUE(other_node_.CacheUpdatesSince(Time{5s}).empty());
 }
 
 TEST_F(SelectorTest, AReaderCopiesFromTheEngineThatKeepsMostElseFromTheHome) {
   // fcl-norte-grown: engines beyond the homes read 13,300 shared tokens again.
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
-  EngineState* home = selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
+  EngineState* home = selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *home, Prompt("x"), Time{1s}), nullptr);
   home->outstanding_prompt_tokens = 60000;
-  EngineState* other = selector_.ChooseReader(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
+  EngineState* other = selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
   ASSERT_NE(other, home);
   EXPECT_EQ(selector_.FindCopySource(engines_, *other, Prompt("x"), Time{1s}), home);
   engines_.Update(Record("d", EngineStage::kDecode));
-  selector_.NotePrompt("d", Prompt("x"), Time{1s});
+  selector_.RecordPrefill("d", Prompt("x"), Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *other, Prompt("x"), Time{1s}), engines_.Find("d"));
-  selector_.NotePrompt(other->record.id, Prompt("x"), Time{1s});
+  selector_.RecordPrefill(other->record.id, Prompt("x"), Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *other, Prompt("x"), Time{1s}), nullptr);
 }
 
 TEST_F(SelectorTest, AnEngineThatIsOutIsNoSourceOfCopies) {
   for (int i = 0; i < 2; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
-  selector_.NotePrompt("p0", Prompt("x"), Time{1s});
+  selector_.RecordPrefill("p0", Prompt("x"), Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), engines_.Find("p0"));
   engines_.Find("p0")->ejected_until = Time{9s};
   EXPECT_EQ(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), nullptr);
@@ -251,14 +254,14 @@
 
 TEST_F(SelectorTest, WhatOnlyALeavingEngineKeepsIsCopiedWhileItLasts) {
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
-  selector_.NotePrompt("p0", Prompt("x"), Time{1s});
+  selector_.RecordPrefill("p0", Prompt("x"), Time{1s});
   EngineRecord leaving = engines_.Find("p0")->record;
   leaving.leaving = true;
   engines_.Update(leaving);
   engines_.Find("p0")->leaving_since = Time{1s};
   EXPECT_EQ(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), engines_.Find("p0"));
   EXPECT_NE(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{3s}), engines_.Find("p0"));
-  selector_.NotePrompt("p2", Prompt("x"), Time{1s});
+  selector_.RecordPrefill("p2", Prompt("x"), Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), engines_.Find("p2"));
   engines_.Remove("p0");
   EXPECT_NE(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), engines_.Find("p0"));
@@ -269,15 +272,15 @@
   engines_.Update(Record("d2", EngineStage::kDecode));
   engines_.Find("d1")->ejected_until = Time{9s};
   engines_.Find("d2")->outstanding = 50;
-  EXPECT_EQ(selector_.ChooseDecode(engines_, "s", "", {}, Time{1s})->record.id, "d2");
+  EXPECT_EQ(selector_.ChooseDecodeEngine(engines_, "s", "", {}, Time{1s})->record.id, "d2");
   engines_.Remove("d2");
   engines_.Find("d2")->gone = true;
-  EXPECT_EQ(selector_.ChooseDecode(engines_, "s", "", {}, Time{1s})->record.id, "d1");
+  EXPECT_EQ(selector_.ChooseDecodeEngine(engines_, "s", "", {}, Time{1s})->record.id, "d1");
 }
 
 // One hundred nodes that know the same and choose before they hear of each other.
 std::map<std::string, int> ChooseTogether(
-    const UnseenWork& unseen, const std::function<EngineState*(EngineSelector&, EngineDirectory&)>& choose) {
+    const UnreportedWork& unseen, const std::function<EngineState*(EngineSelector&, EngineDirectory&)>& choose) {
   std::map<std::string, int> chosen;
   for (std::uint64_t node = 0; node < 100; ++node) {
     EngineDirectory engines{EjectionPolicy{}};
@@ -288,9 +291,9 @@
       engines.Update(Record("p" + id, EngineStage::kPrefill));
       engines.Find("p" + id)->peers_prompt_tokens = i == 3 ? 0 : 200000;
     }
-    EngineSelector selector(ServingKnobs{}, "a", node);
-    selector.set_peers_known(true);
-    selector.set_unseen(unseen);
+    EngineSelector selector(ServingParameters{}, "a", node);
+    selector.set_has_peer_reports(true);
+    selector.set_unreported_work(unseen);
     ++chosen[choose(selector, engines)->record.id];
   }
   return chosen;
@@ -298,7 +301,7 @@
 
 TEST(SelectorHerdTest, WhatOthersStartMeanwhileSpreadsNodesOverTheEngines) {
   const auto decode = [](EngineSelector& selector, EngineDirectory& engines) {
-    return selector.ChooseDecode(engines, "s", "", {}, Time{1s});
+    return selector.ChooseDecodeEngine(engines, "s", "", {}, Time{1s});
   };
   EXPECT_EQ(ChooseTogether({}, decode)["d3"], 100);  // All send to the one that was free.
   const auto spread = ChooseTogether({0, 100}, decode);
@@ -309,10 +312,10 @@
 
 TEST(SelectorHerdTest, PromptsThatLeaveTheirHomesDoNotAllGoToTheSameEngine) {
   const auto read = [](EngineSelector& selector, EngineDirectory& engines) {
-    PromptFacts prompt;
+    PromptMetadata prompt;
     prompt.tokens = 17000;
     prompt.parts = {{"part", 500}, {"own", 16500}};  // Little to read again elsewhere.
-    return selector.ChooseReader(engines, "s", EngineStage::kPrefill, prompt, {}, Time{1s});
+    return selector.ChoosePrefillEngine(engines, "s", EngineStage::kPrefill, prompt, {}, Time{1s});
   };
   EXPECT_EQ(ChooseTogether({}, read)["p3"], 100);
   const auto spread = ChooseTogether({4000000, 0}, read);
@@ -331,12 +334,12 @@
   }
   std::set<std::string> named;
   for (int i = 0; i < 5; ++i) {
-    const std::vector<PeerNode> next = peers.NextNodes(24);
+    const std::vector<PeerNode> next = peers.NextPeersToMention(24);
     EXPECT_EQ(next.size(), 24U);
     for (const PeerNode& peer : next) named.insert(peer.node);
   }
   EXPECT_EQ(named.size(), 100U);
-  EXPECT_EQ(peers.NextNodes(200).size(), 100U);
+  EXPECT_EQ(peers.NextPeersToMention(200).size(), 100U);
 }
 
 TEST(PeerTableTest, NewerReportsReplaceAndSilentNodesAreForgotten) {
--- a/tests/core/serving/fleet_exchange_test.cc
+++ b/tests/core/serving/fleet_exchange_test.cc
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "tests/support/fake_exchanges.h"
+#include "tests/support/fake_exchange_fleet.h"
 
 namespace saltquay::serving {
 namespace {
@@ -12,14 +12,14 @@
 const Topology kOneRegion("a", {}, {});
 
 TEST(FleetExchangeTest, ASmallFleetNeedsNoDigests) {
-  Exchanges fleet(3, 3, 1);
+  FakeExchangeFleet fleet(3, 3, 1);
   fleet.Run(2s);
   for (std::size_t node = 0; node < fleet.size(); ++node) EXPECT_EQ(fleet.sent(node), 0);
 }
 
 TEST(FleetExchangeTest, KnowledgeIsAsYoungInALargeFleetAsInASmallOne) {
   for (const int per_zone : {4, 12, 60}) {
-    Exchanges fleet(5, per_zone, 1);
+    FakeExchangeFleet fleet(5, per_zone, 1);
     fleet.Run(2s);
     for (std::size_t node = 0; node < fleet.size(); ++node) EXPECT_EQ(fleet.Seen(node), 0);
     fleet.set_work(0, 7);
@@ -41,7 +41,7 @@
 
 TEST(FleetExchangeTest, ANodesOwnOutcomesAreNotTakenForOthers) {
   // Counted twice, two failures at one node were four of all nodes and ejected an engine for the whole fleet's eyes.
-  FleetExchange node(FleetExchangeKnobs{}, {"a9", "a9", "a", 20, false}, kOneRegion);
+  FleetExchange node(FleetExchangeParameters{}, {"a9", "a9", "a", 20, false}, kOneRegion);
   PeerReport own;
   own.node = "a9";
   EngineWork seen;
@@ -66,7 +66,7 @@
 
 TEST(FleetExchangeTest, OneOldReportDoesNotMakeAllKnowledgeOld) {
   // A node that was killed leaves its last report behind for a second; what the others told is as young as ever.
-  Exchanges fleet(2, 20, 1);
+  FakeExchangeFleet fleet(2, 20, 1);
   fleet.Run(2s);
   const Duration before = fleet.at(10).ViewAge(fleet.now());
   fleet.set_up(15, false);
@@ -76,14 +76,14 @@
 
 TEST(FleetExchangeTest, AnOrdinaryNodesMessagesDoNotGrowWithTheFleet) {
   for (const int per_zone : {4, 60}) {
-    Exchanges fleet(5, per_zone, 1);
+    FakeExchangeFleet fleet(5, per_zone, 1);
     fleet.Run(10s);
     EXPECT_LE(fleet.sent(fleet.size() - 1), 2 * 5 * 10) << per_zone;
   }
 }
 
 TEST(FleetExchangeTest, WhenOneAggregatorIsLostNothingIsMissed) {
-  Exchanges fleet(3, 20, 1);
+  FakeExchangeFleet fleet(3, 20, 1);
   fleet.Run(2s);
   fleet.set_up(0, false);
   fleet.set_work(30, 4);
@@ -96,38 +96,38 @@
 }
 
 // Three nodes see one end each; the sum is what counts.
-void NoteThreeEnds(Exchanges& fleet, std::uint64_t request) {
+void NoteThreeEnds(FakeExchangeFleet& fleet, std::uint64_t request) {
   const std::size_t third = fleet.size() / 3;
   for (std::size_t i = 0; i < 3; ++i) {
-    fleet.ledger(i * third + third / 2).NoteEnd(request, EngineKey(i + 1), fleet.now(), fleet.now());
+    fleet.ledger(i * third + third / 2).RecordCrash(request, EngineKey(i + 1), fleet.now(), fleet.now());
   }
 }
 
 TEST(FleetExchangeTest, EnginesThatEndedUnderARequestAreKnownToAllWithinContact) {
   constexpr std::uint64_t kRequest = 7;
   for (const int per_zone : {4, 27, 98, 267}) {
-    Exchanges fleet(3, per_zone, 1);
+    FakeExchangeFleet fleet(3, per_zone, 1);
     fleet.set_loss(0.1);
     fleet.Run(2s);
     NoteThreeEnds(fleet, kRequest);
     fleet.Run(1500ms);
-    EXPECT_EQ(fleet.Ignorant(kRequest, 3), 0) << per_zone << " a zone";
+    EXPECT_EQ(fleet.CountUninformed(kRequest, 3), 0) << per_zone << " a zone";
   }
 }
 
 TEST(FleetExchangeTest, TheyAreAlsoKnownWithinContactWhenTheAggregatorsOfAZoneAreLost) {
   constexpr std::uint64_t kRequest = 7;
-  Exchanges fleet(3, 98, 1);
+  FakeExchangeFleet fleet(3, 98, 1);
   fleet.Run(2s);
   NoteThreeEnds(fleet, kRequest);
   fleet.set_up(0, false);
   fleet.set_up(1, false);
   fleet.Run(2900ms);
-  EXPECT_EQ(fleet.Ignorant(kRequest, 3), 0);
+  EXPECT_EQ(fleet.CountUninformed(kRequest, 3), 0);
 }
 
 TEST(FleetExchangeTest, WhenAllAggregatorsOfAZoneAreLostOthersTakeTheirPlace) {
-  Exchanges fleet(3, 20, 1);
+  FakeExchangeFleet fleet(3, 20, 1);
   fleet.Run(2s);
   for (std::size_t node = 0; node < 4; ++node) fleet.set_up(node, false);
   fleet.set_work(30, 4);
@@ -142,7 +142,7 @@
 }
 
 TEST(FleetExchangeTest, ACutOffZoneIsForgottenByTheOthersAndKnowsItself) {
-  FleetExchange node(FleetExchangeKnobs{}, {"a0", "a0", "a", 200, false}, kOneRegion);
+  FleetExchange node(FleetExchangeParameters{}, {"a0", "a0", "a", 200, false}, kOneRegion);
   PeerReport zone;
   zone.scope = ReportScope::kZone;
   zone.node = zone.address = "b0";
@@ -164,7 +164,7 @@
 TEST(FleetExchangeTest, OnlyWhoIsAskedAggregates) {
   // Seen on fcl-norte-large quiet-1: every node took its peers' ordinary reports for such, and all 295 sent digests
   // between the zones, 5.7 GB in a minute.
-  FleetExchange node(FleetExchangeKnobs{}, {"a9", "a9", "a", 20, false}, kOneRegion);
+  FleetExchange node(FleetExchangeParameters{}, {"a9", "a9", "a", 20, false}, kOneRegion);
   PeerReport report;
   report.node = report.address = "a1";
   report.zone = "a";
@@ -177,16 +177,16 @@
 }
 
 TEST(FleetExchangeTest, BytesBetweenZonesGrowWithTheZonesOnly) {
-  Exchanges fleet(5, 60, 1);
+  FakeExchangeFleet fleet(5, 60, 1);
   fleet.Run(10s);
   int between_zones = 0;
-  for (std::size_t node = 0; node < fleet.size(); ++node) between_zones += fleet.sent_far(node);
+  for (std::size_t node = 0; node < fleet.size(); ++node) between_zones += fleet.sent_to_other_zones(node);
   EXPECT_LE(between_zones,
             5 * 2 * 4 * 5 * 10);  // Two aggregators of each of five zones, to four others, five a second.
 }
 
 TEST(FleetExchangeTest, ADigestOfFewerNodesDoesNotReplaceAFullOne) {
-  FleetExchange node(FleetExchangeKnobs{}, {"a9", "a9", "a", 20, false}, kOneRegion);
+  FleetExchange node(FleetExchangeParameters{}, {"a9", "a9", "a", 20, false}, kOneRegion);
   PeerReport digest;
   digest.scope = ReportScope::kFleet;
   digest.node = "a0";
@@ -202,7 +202,7 @@
 }
 
 TEST(FleetExchangeTest, NewsOfKeptPartsPassOnceAndThenRest) {
-  Exchanges fleet(2, 12, 1);
+  FakeExchangeFleet fleet(2, 12, 1);
   fleet.Run(2s);
   PeerReport report = fleet.Report(5);
   report.aggregate = true;
@@ -227,7 +227,7 @@
 
 // Whatever is lost or down, what a node believes others have under way was under way somewhere.
 RC_GTEST_PROP(FleetExchangeProperty, SumsNeverExceedWhatIsUnderWay, ()) {
-  Exchanges fleet(*rc::gen::inRange(1, 4), *rc::gen::inRange(6, 14), *rc::gen::arbitrary<std::uint64_t>());
+  FakeExchangeFleet fleet(*rc::gen::inRange(1, 4), *rc::gen::inRange(6, 14), *rc::gen::arbitrary<std::uint64_t>());
   fleet.set_loss(*rc::gen::inRange(0, 4) * 0.1);
   int all = 0;
   for (std::size_t node = 0; node < fleet.size(); ++node) {
--- a/tests/core/serving/flow_test.cc
+++ b/tests/core/serving/flow_test.cc
@@ -16,26 +16,26 @@
   const auto start = One<StartAttempt>();
   EXPECT_EQ(start.mode, AttemptMode::kWhole);
   Answer(start, 200);
-  EXPECT_EQ(One<RelayAnswer>().attempt, start.attempt);
+  EXPECT_EQ(One<RelayResponse>().attempt, start.attempt);
   EXPECT_EQ(core_.flows(), 0U);
 }
 
 TEST_F(FlowTest, UnknownRouteIs404OnlyWhileTheStoreIsHeard) {
   Arrive("nowhere");
-  EXPECT_EQ(One<AnswerOwn>().status, 404);
-  Send(StoreContactChanged{false});
+  EXPECT_EQ(One<SendLocalReply>().status, 404);
+  Send(StoreConnectivityChanged{false});
   Arrive("nowhere");
-  EXPECT_EQ(One<AnswerOwn>().status, 503);
-  EXPECT_TRUE(One<AnswerOwn>().retry_after.has_value());
+  EXPECT_EQ(One<SendLocalReply>().status, 503);
+  EXPECT_TRUE(One<SendLocalReply>().retry_after.has_value());
 }
 
 TEST_F(FlowTest, BeforeAnyConfigurationRequestsAreRefusedWithATime) {
-  ServingCore fresh(ServingKnobs{}, "a", 1);
+  ServingCore fresh(ServingParameters{}, "a", 1);
   std::vector<Action> actions;
   RequestArrived arrived;
   arrived.flow = 1;
   fresh.OnEvent(now_, arrived, actions);
-  const auto* answer = std::get_if<AnswerOwn>(&actions.back());
+  const auto* answer = std::get_if<SendLocalReply>(&actions.back());
   ASSERT_NE(answer, nullptr);
   EXPECT_EQ(answer->status, 503);
   EXPECT_TRUE(answer->retry_after.has_value());
@@ -54,8 +54,8 @@
   Arrive("once");
   Fail(One<StartAttempt>(), AttemptFailure::kBroken);
   EXPECT_TRUE(All<StartAttempt>().empty());
-  EXPECT_EQ(One<AnswerOwn>().status, 502);
-  EXPECT_FALSE(One<AnswerOwn>().retry_after.has_value());
+  EXPECT_EQ(One<SendLocalReply>().status, 502);
+  EXPECT_FALSE(One<SendLocalReply>().retry_after.has_value());
 }
 
 TEST_F(FlowTest, AtMostOnceGoesElsewhereWhenItWasNotSentOrNotRun) {
@@ -67,20 +67,20 @@
   Answer(second, 503, true);
   EXPECT_TRUE(All<StartAttempt>().empty());  // Both engines were tried: it waits.
   Pass(500ms);
-  EXPECT_EQ(One<AnswerOwn>().status, 503);
-  EXPECT_TRUE(One<AnswerOwn>().retry_after.has_value());
+  EXPECT_EQ(One<SendLocalReply>().status, 503);
+  EXPECT_TRUE(One<SendLocalReply>().retry_after.has_value());
 }
 
 TEST_F(FlowTest, AFailureOfTheEnginesOwnIsRelayedForAtMostOnce) {
   Arrive("once");
   Answer(One<StartAttempt>(), 500);
-  EXPECT_EQ(All<RelayAnswer>().size(), 1U);
+  EXPECT_EQ(All<RelayResponse>().size(), 1U);
 }
 
 TEST_F(FlowTest, AnEnginesUnprovenRefusalIsNotPassedOnAsAPromise) {
   Arrive("once");
   Answer(One<StartAttempt>(), 503);
-  EXPECT_EQ(One<AnswerOwn>().status, 502);
+  EXPECT_EQ(One<SendLocalReply>().status, 502);
 }
 
 TEST_F(FlowTest, RepeatableGoesToASecondEngineOnceAndNoFurther) {
@@ -91,15 +91,15 @@
   EXPECT_NE(second.engine_id, first.engine_id);
   Fail(second, AttemptFailure::kBroken);
   EXPECT_TRUE(All<StartAttempt>().empty());
-  EXPECT_EQ(One<AnswerOwn>().status, 502);
+  EXPECT_EQ(One<SendLocalReply>().status, 502);
 }
 
 TEST_F(FlowTest, TimeUpAnswersAtOnceWithoutAPromise) {
   Arrive("once");
   Pass(3900ms);
-  EXPECT_TRUE(All<AnswerOwn>().empty());
+  EXPECT_TRUE(All<SendLocalReply>().empty());
   Pass(110ms);
-  EXPECT_EQ(One<AnswerOwn>().status, 504);
+  EXPECT_EQ(One<SendLocalReply>().status, 504);
   EXPECT_EQ(All<CancelAttempt>().size(), 1U);
 }
 
@@ -107,7 +107,7 @@
   Send(EnginesReplaced{});
   Arrive("safe");
   Pass(100ms);
-  EXPECT_EQ(One<AnswerOwn>().status, 503);
+  EXPECT_EQ(One<SendLocalReply>().status, 503);
 }
 
 TEST_F(FlowTest, LeavingAndGoneEnginesGetNothing) {
@@ -173,11 +173,11 @@
   ASSERT_TRUE(second.memory);
   EXPECT_EQ(second.memory->handle, "handle");
   EXPECT_NE(second.engine_id, first.engine_id);
-  EXPECT_TRUE(core_.engines().Find(first.engine_id)->IsOut(now_));  // Left alone for a while.
-  EXPECT_FALSE(core_.engines().Find(first.engine_id)->IsOut(now_ + 50ms));
+  EXPECT_TRUE(core_.engines().Find(first.engine_id)->IsOutOfService(now_));  // Left alone for a while.
+  EXPECT_FALSE(core_.engines().Find(first.engine_id)->IsOutOfService(now_ + 50ms));
   // Two engines that cannot take it: the memory is gone, or might as well be.
   Answer(second, 503, true);
-  EXPECT_EQ(One<ReleaseMemory>().memory.handle, "handle");
+  EXPECT_EQ(One<ReleaseKvCache>().memory.handle, "handle");
   EXPECT_EQ(One<StartAttempt>().mode, AttemptMode::kPrefill);
 }
 
@@ -186,11 +186,11 @@
   Answer(One<StartAttempt>(), 200, false, "handle");
   const auto run = One<StartAttempt>();
   Head(run, 200);
-  Send(AttemptEvents{run.flow, run.attempt, "3"});
+  Send(AttemptEventsReceived{run.flow, run.attempt, "3"});
   Fail(run, AttemptFailure::kBroken);
   const auto again = One<StartAttempt>();
   EXPECT_EQ(again.last_event_id, "3");
-  EXPECT_TRUE(All<BreakOff>().empty());
+  EXPECT_TRUE(All<AbortResponse>().empty());
 }
 
 TEST_F(FlowTest, AStreamThatMayNotResumeIsBrokenOff) {
@@ -199,14 +199,14 @@
   const auto run = One<StartAttempt>();
   Head(run, 200);
   Fail(run, AttemptFailure::kBroken);
-  EXPECT_EQ(All<BreakOff>().size(), 1U);
+  EXPECT_EQ(All<AbortResponse>().size(), 1U);
   EXPECT_TRUE(All<StartAttempt>().empty());
 }
 
 TEST_F(FlowTest, AClientThatLeavesCancelsItsStreamAndFreesItsMemory) {
   Arrive("lone", LongPrompt());
   const auto prefill = One<StartAttempt>();
-  Send(ClientLeft{prefill.flow});
+  Send(ClientDisconnected{prefill.flow});
   EXPECT_EQ(One<CancelAttempt>().attempt, prefill.attempt);
   EXPECT_EQ(core_.flows(), 0U);
 }
@@ -239,7 +239,7 @@
   Arrive("once");
   Pass(1600ms);
   EXPECT_TRUE(All<StartAttempt>().empty());
-  EXPECT_TRUE(All<AnswerOwn>().empty());
+  EXPECT_TRUE(All<SendLocalReply>().empty());
   EXPECT_EQ(core_.flows(), 3U);
   EXPECT_NE(core_.engines().Find(first.engine_id)->consecutive_failures +
                 static_cast<int>(core_.engines().Find(first.engine_id)->ejected_until > now_),
@@ -311,8 +311,8 @@
     for (const CancelAttempt& cancel : All<CancelAttempt>()) {
       std::erase_if(open, [&](const StartAttempt& start) { return start.attempt == cancel.attempt; });
     }
-    finals += static_cast<int>(All<RelayAnswer>().size() + All<EndRelay>().size() + All<BreakOff>().size());
-    for (const AnswerOwn& answer : All<AnswerOwn>()) {
+    finals += static_cast<int>(All<RelayResponse>().size() + All<EndRelay>().size() + All<AbortResponse>().size());
+    for (const SendLocalReply& answer : All<SendLocalReply>()) {
       ++finals;
       const bool promise = answer.status == 503 || answer.status == 429;
       if (promise && allowed == 1) RC_ASSERT(may_have_run.empty());
@@ -362,7 +362,7 @@
   for (int i = 4; i < 12 && !copied; ++i) {
     const FlowId flow = Arrive("chat", LongPrompt("s" + std::to_string(i)));
     copied = !One<StartAttempt>().copy_from.empty();
-    Send(ClientLeft{flow});  // The node bounds what it has under way.
+    Send(ClientDisconnected{flow});  // The node bounds what it has under way.
   }
   EXPECT_TRUE(copied);  // From a home that is too busy to read.
 }
--- a/tests/core/serving/connections_test.cc
+++ b/tests/core/serving/idle_connections_test.cc
@@ -11,7 +11,7 @@
   Arrive("once");
   const auto start = One<StartAttempt>();
   Pass(4s);
-  const auto dropped = All<DropRestingConnections>();
+  const auto dropped = All<DropIdleConnections>();
   ASSERT_FALSE(dropped.empty());
   EXPECT_EQ(dropped.front().engine_id, start.engine_id);
   EXPECT_EQ(dropped.front().address, start.address);
@@ -43,7 +43,7 @@
   Pass(1s);
   Answer(*second, 200);
   Pass(4s);
-  for (const DropRestingConnections& dropped : All<DropRestingConnections>()) {
+  for (const DropIdleConnections& dropped : All<DropIdleConnections>()) {
     EXPECT_NE(dropped.engine_id, first.engine_id);
   }
 }
--- a/tests/core/serving/distance_test.cc
+++ b/tests/core/serving/multi_region_selection_test.cc
@@ -17,18 +17,18 @@
 // Two zones in each of three regions: n1, n2 in "n", s1, s2 in "s", e1, e2 in "e".
 class DistanceTest : public ::testing::Test {
  protected:
-  static ServingKnobs MakeKnobs() {
-    ServingKnobs knobs;
+  static ServingParameters MakeParameters() {
+    ServingParameters parameters;
     for (const char* region : {"n", "s", "e"}) {
-      for (const char* number : {"1", "2"}) knobs.regions[std::string(region) + number] = region;
+      for (const char* number : {"1", "2"}) parameters.regions[std::string(region) + number] = region;
     }
-    return knobs;
+    return parameters;
   }
-  static EngineSelector SelectorIn(const std::string& zone) { return {MakeKnobs(), zone, 7}; }
+  static EngineSelector SelectorIn(const std::string& zone) { return {MakeParameters(), zone, 7}; }
 
   // `each` engines in every zone, named by zone and number.
   void AddEngines(EngineStage stage, int each) {
-    for (const auto& [zone, region] : MakeKnobs().regions) {
+    for (const auto& [zone, region] : MakeParameters().regions) {
       for (int i = 0; i < each; ++i) {
         EngineRecord record;
         record.id = fmt::format("{}-{}-{}", zone, static_cast<int>(stage), i);
@@ -48,14 +48,14 @@
     });
   }
   static std::string RegionOf(const EngineState& engine) { return engine.record.zone.substr(0, 1); }
-  static PromptFacts Prompt(const std::string& shared) {
-    PromptFacts prompt;
+  static PromptMetadata Prompt(const std::string& shared) {
+    PromptMetadata prompt;
     prompt.tokens = 9000;
     prompt.parts = {{shared, 6000}, {"own", 3000}};
     return prompt;
   }
-  EngineState* Reader(EngineSelector& selector, const PromptFacts& prompt) {
-    return selector.ChooseReader(engines_, "s", EngineStage::kPrefill, prompt, {}, kNow);
+  EngineState* Reader(EngineSelector& selector, const PromptMetadata& prompt) {
+    return selector.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, prompt, {}, kNow);
   }
 
   EngineDirectory engines_{EjectionPolicy{}};
@@ -64,9 +64,9 @@
 TEST_F(DistanceTest, ZonesOfOneRegionShareAHomeAndEachRegionHasItsOwn) {
   AddEngines(EngineStage::kPrefill, 3);
   for (int i = 0; i < 20; ++i) {
-    const PromptFacts prompt = Prompt(fmt::format("part-{}", i));
+    const PromptMetadata prompt = Prompt(fmt::format("part-{}", i));
     std::map<std::string, std::set<std::string>> homes;
-    for (const auto& [zone, region] : MakeKnobs().regions) {
+    for (const auto& [zone, region] : MakeParameters().regions) {
       EngineSelector selector = SelectorIn(zone);
       const EngineState* home = Reader(selector, prompt);
       EXPECT_EQ(RegionOf(*home), region);
@@ -88,15 +88,15 @@
     });
   };
   fill(3);
-  EXPECT_EQ(selector.ChooseDecode(engines_, "s", "n1", {}, kNow)->record.zone, "n1");
+  EXPECT_EQ(selector.ChooseDecodeEngine(engines_, "s", "n1", {}, kNow)->record.zone, "n1");
   fill(7);
-  EXPECT_EQ(selector.ChooseDecode(engines_, "s", "n1", {}, kNow)->record.zone, "n2");
+  EXPECT_EQ(selector.ChooseDecodeEngine(engines_, "s", "n1", {}, kNow)->record.zone, "n2");
 }
 
 TEST_F(DistanceTest, APromptIsReadElsewhereOnlyWhenTheOwnRegionsQueueIsLongerThanTheWay) {
   AddEngines(EngineStage::kPrefill, 3);
   EngineSelector selector = SelectorIn("n1");
-  const double way_ms = MakeKnobs().way_weight * 2 * ToSeconds(MakeKnobs().distances.between_regions) * 1000;
+  const double way_ms = MakeParameters().rtt_weight * 2 * ToSeconds(MakeParameters().distances.between_regions) * 1000;
   const auto queue = [&](double ms) {
     ForRegion("n", [&](EngineState& engine) {
       engine.outstanding_prompt_tokens = static_cast<std::int64_t>(ms * selector.read_rate());
@@ -112,7 +112,7 @@
 TEST_F(DistanceTest, PlainRequestsLeaveTheRegionOnlyWhenItsQueueIsLongerThanTheWay) {
   AddEngines(EngineStage::kUniform, 2);
   EngineSelector selector = SelectorIn("n1");
-  const auto choose = [&] { return selector.ChooseUniform(engines_, "s", {}, kNow); };
+  const auto choose = [&] { return selector.ChooseUniformEngine(engines_, "s", {}, kNow); };
   EXPECT_EQ(choose()->record.zone, "n1");
   ForRegion("n1", [](EngineState& engine) { engine.outstanding = 4; });
   EXPECT_EQ(choose()->record.zone, "n2");
@@ -125,7 +125,9 @@
 TEST_F(DistanceTest, AnswersAreMadeNearTheMemory) {
   AddEngines(EngineStage::kDecode, 2);
   EngineSelector selector = SelectorIn("n1");
-  const auto choose = [&](const std::string& memory) { return selector.ChooseDecode(engines_, "s", memory, {}, kNow); };
+  const auto choose = [&](const std::string& memory) {
+    return selector.ChooseDecodeEngine(engines_, "s", memory, {}, kNow);
+  };
   EXPECT_EQ(choose("n2")->record.zone, "n2");
   ForRegion("n2", [](EngineState& engine) { engine.outstanding = 8; });
   EXPECT_EQ(choose("n2")->record.zone, "n1");
@@ -136,12 +138,12 @@
 TEST_F(DistanceTest, PartsAreCopiedFromTheNearestThatKeepsThem) {
   AddEngines(EngineStage::kPrefill, 1);
   EngineSelector selector = SelectorIn("n1");
-  const PromptFacts prompt = Prompt("part");
+  const PromptMetadata prompt = Prompt("part");
   const EngineState& reader = *engines_.Find("s1-1-0");
-  selector.NotePrompt(engines_.Find("e1-1-0")->key, prompt, kNow);
+  selector.RecordPrefill(engines_.Find("e1-1-0")->key, prompt, kNow);
   EXPECT_EQ(selector.FindCopySource(engines_, reader, prompt, kNow)->record.id, "e1-1-0");
-  selector.NotePrompt(engines_.Find("n1-1-0")->key, prompt, kNow);
-  selector.NotePrompt(engines_.Find("s2-1-0")->key, prompt, kNow);
+  selector.RecordPrefill(engines_.Find("n1-1-0")->key, prompt, kNow);
+  selector.RecordPrefill(engines_.Find("s2-1-0")->key, prompt, kNow);
   EXPECT_EQ(selector.FindCopySource(engines_, reader, prompt, kNow)->record.id, "s2-1-0");
 }
 
@@ -155,16 +157,17 @@
     if (i == 100) {
       ForRegion("n1", [](EngineState& engine) { engine.ejected_until = kNow + 1s; });
     }
-    PromptFacts prompt;
+    PromptMetadata prompt;
     prompt.tokens = 900;
     prompt.parts = {{fmt::format("part-{}", i % 10), 600}, {"own", 300}};
     EngineState* reader = Reader(selector, prompt);
     ASSERT_NE(reader, nullptr);
-    EXPECT_FALSE(reader->IsOut(kNow));
-    reader->outstanding_prompt_tokens += selector.TokensToRead(reader->key, prompt, kNow);
-    selector.NotePrompt(reader->key, prompt, kNow);
+    EXPECT_FALSE(reader->IsOutOfService(kNow));
+    reader->outstanding_prompt_tokens += selector.TokensToPrefill(reader->key, prompt, kNow);
+    selector.RecordPrefill(reader->key, prompt, kNow);
     elsewhere += RegionOf(*reader) == "n" ? 0 : 1;
-    const double way_ms = MakeKnobs().way_weight * 2 * ToSeconds(MakeKnobs().distances.between_regions) * 1000;
+    const double way_ms =
+        MakeParameters().rtt_weight * 2 * ToSeconds(MakeParameters().distances.between_regions) * 1000;
     EXPECT_LT(static_cast<double>(reader->outstanding_prompt_tokens) / selector.read_rate(), way_ms + kMostMs);
   }
   EXPECT_GT(elsewhere, 0);
@@ -176,16 +179,16 @@
   ForRegion("n", [](EngineState& engine) { engine.ejected_until = kNow + 1s; });
   EngineSelector selector = SelectorIn("n1");
   EXPECT_NE(RegionOf(*Reader(selector, Prompt("part"))), "n");
-  EXPECT_NE(RegionOf(*selector.ChooseDecode(engines_, "s", "s1", {}, kNow)), "n");
+  EXPECT_NE(RegionOf(*selector.ChooseDecodeEngine(engines_, "s", "s1", {}, kNow)), "n");
 }
 
 TEST_F(DistanceTest, AWayThatBecomesTenfoldIsTakenNoMore) {
   AddEngines(EngineStage::kUniform, 2);
   EngineSelector selector = SelectorIn("n1");
   ForRegion("n1", [](EngineState& engine) { engine.outstanding = 4; });
-  EXPECT_EQ(selector.ChooseUniform(engines_, "s", {}, kNow)->record.zone, "n2");
-  for (int i = 0; i < 500; ++i) selector.topology().NoteRoundTrip("n2", 20ms);
-  EXPECT_EQ(selector.ChooseUniform(engines_, "s", {}, kNow)->record.zone, "n1");
+  EXPECT_EQ(selector.ChooseUniformEngine(engines_, "s", {}, kNow)->record.zone, "n2");
+  for (int i = 0; i < 500; ++i) selector.topology().RecordRoundTrip("n2", 20ms);
+  EXPECT_EQ(selector.ChooseUniformEngine(engines_, "s", {}, kNow)->record.zone, "n1");
 }
 
 }  // namespace
--- a/tests/core/serving/overload_test.cc
+++ b/tests/core/serving/overload_test.cc
@@ -15,10 +15,10 @@
 
 class OverloadTest : public ServingFixture {
  protected:
-  static ServingKnobs Knobs() {
-    ServingKnobs knobs;
-    knobs.retry_budget = RetryBudgetBounds{kRatio, kWindow, kSlack, 0.8};
-    return knobs;
+  static ServingParameters Parameters() {
+    ServingParameters parameters;
+    parameters.retry_budget = RetryBudgetBounds{kRatio, kWindow, kSlack, 0.8};
+    return parameters;
   }
   static ServingConfig Config() {
     ServingConfig config = MakeConfig();
@@ -37,7 +37,7 @@
       fleet.AddEngine(engine);
     }
   }
-  static PromptFacts Prompt(int count) { return LongPrompt("s" + std::to_string(count % 97)); }
+  static PromptMetadata Prompt(int count) { return LongPrompt("s" + std::to_string(count % 97)); }
 };
 
 // Fills the node's window with prompts that no engine answers.
@@ -56,7 +56,7 @@
 TEST_F(FullWindowTest, WhatHasNoRoomIsRefusedWithinAQuarterOfItsObjectiveWithATime) {
   ASSERT_TRUE(waiting_);
   Pass(100ms);  // A quarter of 400 ms.
-  const auto answer = One<AnswerOwn>();
+  const auto answer = One<SendLocalReply>();
   EXPECT_EQ(answer.status, 503);
   ASSERT_TRUE(answer.retry_after.has_value());
   EXPECT_GT(*answer.retry_after, 0s);
@@ -70,11 +70,11 @@
   Send(ConfigurationChanged{config});
   const FlowId second = Arrive("chat", LongPrompt("later"));
   Pass(25ms);
-  EXPECT_EQ(One<AnswerOwn>().flow, second);
+  EXPECT_EQ(One<SendLocalReply>().flow, second);
 }
 
 TEST_F(FullWindowTest, WhatWaitsGoesOnWhenAPromptIsOver) {
-  Send(ClientLeft{1});
+  Send(ClientDisconnected{1});
   EXPECT_EQ(All<StartAttempt>().size(), 1U);
 }
 
@@ -91,29 +91,29 @@
     fleet.RunUntil(fleet.now() + 8s);
     fleet.Offer("chat", kCapacity / 3, fleet.now() + 3s, prompt);
     fleet.RunUntil(fleet.now() + 1s);
-    fleet.ForgetCounts();
+    fleet.ResetCounts();
     fleet.RunUntil(fleet.now() + 2s);
   }
 
   ServingFleet& fleet;
-  std::function<PromptFacts(int)> prompt;
+  std::function<PromptMetadata(int)> prompt;
 };
 
 TEST_F(OverloadTest, ThreeTimesTheCapacityEjectsNoEngineAndIsOverWithinASecond) {
-  ServingFleet fleet(4, Config(), Knobs(), 3);
+  ServingFleet fleet(4, Config(), Parameters(), 3);
   AddEngines(fleet, 8);
   Surge surge(fleet);
   surge.prompt = Prompt;
   surge.Play();
   EXPECT_TRUE(fleet.ejected().empty());
-  EXPECT_GT(fleet.answered_in_time(), 480);  // Of 533 in the last two seconds.
+  EXPECT_GT(fleet.answered_within_objective(), 480);  // Of 533 in the last two seconds.
 }
 
 TEST_F(OverloadTest, ASurgeHidesNoSickEngineAndBlamesNoOther) {
-  ServingFleet fleet(4, Config(), Knobs(), 5);
+  ServingFleet fleet(4, Config(), Parameters(), 5);
   AddEngines(fleet, 8);
-  fleet.SetHealth("p0", EngineHealth::kGrey);
-  fleet.SetHealth("p2", EngineHealth::kDark);
+  fleet.SetHealth("p0", EngineHealth::kFailsOften);
+  fleet.SetHealth("p2", EngineHealth::kUnresponsive);
   Surge surge(fleet);
   surge.prompt = Prompt;
   surge.Play();
@@ -128,14 +128,14 @@
   const int queue = *rc::gen::inRange(0, 30);
   const double overload = *rc::gen::inRange(1, 5);
   const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000);
-  ServingFleet fleet(nodes, Config(), Knobs(), seed);
+  ServingFleet fleet(nodes, Config(), Parameters(), seed);
   AddEngines(fleet, queue);
-  fleet.SetHealth(
-      "p1", *rc::gen::element(EngineHealth::kWell, EngineHealth::kGrey, EngineHealth::kSlow, EngineHealth::kDark));
+  fleet.SetHealth("p1", *rc::gen::element(EngineHealth::kHealthy, EngineHealth::kFailsOften, EngineHealth::kSlow,
+                                          EngineHealth::kUnresponsive));
   fleet.Begin();
   fleet.Offer("chat", 400 * overload, fleet.now() + 4s, Prompt);
   fleet.RunUntil(fleet.now() + 7s);
-  RC_ASSERT(fleet.WorstBudget(kRatio, kSlack, kWindow) <= 0);
+  RC_ASSERT(fleet.MaxBudgetExcess(kRatio, kSlack, kWindow) <= 0);
 }
 
 }  // namespace
--- a/tests/core/serving/poison_request_test.cc
+++ b/tests/core/serving/poison_request_test.cc
@@ -34,28 +34,28 @@
       fleet.AddEngine(engine);
     }
   }
-  static ServingKnobs Knobs() {
-    ServingKnobs knobs;
-    knobs.retry_budget = RetryBudgetBounds{0.2, 10s, 54, 0.8};
-    return knobs;
+  static ServingParameters Parameters() {
+    ServingParameters parameters;
+    parameters.retry_budget = RetryBudgetBounds{0.2, 10s, 54, 0.8};
+    return parameters;
   }
-  static PromptFacts OrdinaryPrompt(int count) { return LongPrompt("s" + std::to_string(count % 7)); }
+  static PromptMetadata OrdinaryPrompt(int count) { return LongPrompt("s" + std::to_string(count % 7)); }
   static long LaterRuns(const ServingFleet& fleet) {
     const std::vector<Time>& ends = fleet.engine_ends();
     if (ends.size() < kMostEnds) return 0;
     const Time known = ends[kMostEnds - 1] + kContact;
-    const auto& runs = fleet.fatal_runs();
-    return std::count_if(runs.begin(), runs.end(), [&](const FatalRun& run) { return run.at > known; });
+    const auto& runs = fleet.poison_runs();
+    return std::count_if(runs.begin(), runs.end(), [&](const PoisonRun& run) { return run.at > known; });
   }
 };
 
 TEST_F(PoisonRequestTest, ReachesAtMostThreeEnginesOnceTheThirdEndIsKnown) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(7, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 20, fleet.now() + 14s, OrdinaryPrompt);
-    fleet.OfferFatal("chat", LongPrompt("own"), 300ms, fleet.now() + 12s);
+    fleet.SendPoisonRequests("chat", LongPrompt("own"), 300ms, fleet.now() + 12s);
     fleet.RunUntil(fleet.now() + 16s);
     EXPECT_LE(LaterRuns(fleet), kMostLaterRuns)
         << "seed " << seed << ", " << fleet.engine_ends().size() << " engines ended";
@@ -65,14 +65,14 @@
 // Guards against: ends of one engine that starts again under its id count as one end.
 TEST_F(PoisonRequestTest, AlsoWhereEnginesStartAgainUnderTheirIds) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(7, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     FleetEngine only;
     only.record = MakeEngine("d0", "model", EngineStage::kUniform);
     only.slots = 40;
     fleet.AddEngine(only);
     fleet.set_same_ids();
     fleet.Begin();
-    fleet.OfferFatal("chat", LongPrompt("own"), 300ms, fleet.now() + 60s);
+    fleet.SendPoisonRequests("chat", LongPrompt("own"), 300ms, fleet.now() + 60s);
     fleet.RunUntil(fleet.now() + 64s);
     EXPECT_LE(LaterRuns(fleet), kMostLaterRuns)
         << "seed " << seed << ", " << fleet.engine_ends().size() << " lives ended";
@@ -81,12 +81,12 @@
 
 TEST_F(PoisonRequestTest, AlsoWhileAThirdOfTheMessagesBetweenNodesIsLost) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(7, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.set_loss(0.33);
     fleet.Begin();
     fleet.Offer("chat", 20, fleet.now() + 14s, OrdinaryPrompt);
-    fleet.OfferFatal("chat", LongPrompt("own"), 50ms, fleet.now() + 12s);
+    fleet.SendPoisonRequests("chat", LongPrompt("own"), 50ms, fleet.now() + 12s);
     fleet.RunUntil(fleet.now() + 16s);
     EXPECT_EQ(LaterRuns(fleet), 0) << "seed " << seed;
   }
@@ -94,11 +94,11 @@
 
 TEST_F(PoisonRequestTest, AlsoWhileNodesStartAnewOneAfterTheOther) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(7, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 20, fleet.now() + 14s, OrdinaryPrompt);
-    fleet.OfferFatal("chat", LongPrompt("own"), 200ms, fleet.now() + 14s);
+    fleet.SendPoisonRequests("chat", LongPrompt("own"), 200ms, fleet.now() + 14s);
     for (int node = 0; node < 14; ++node) {
       fleet.RunUntil(fleet.now() + 1s);
       fleet.Restart(node % 7);
@@ -110,14 +110,14 @@
 
 TEST_F(PoisonRequestTest, WhatWasOnlyBesideItIsServed) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(7, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 40, fleet.now() + 20s, OrdinaryPrompt);
-    fleet.OfferFatal("chat", LongPrompt("own"), 300ms, fleet.now() + 12s);
+    fleet.SendPoisonRequests("chat", LongPrompt("own"), 300ms, fleet.now() + 12s);
     fleet.RunUntil(fleet.now() + 8s);
     EXPECT_EQ(fleet.quarantined().size(), 1U) << "seed " << seed;
-    fleet.ForgetCounts();
+    fleet.ResetCounts();
     fleet.RunUntil(fleet.now() + 14s);
     EXPECT_EQ(fleet.failed(), 0) << "seed " << seed;
     EXPECT_GE(fleet.answered(), 470) << "seed " << seed;  // 40 a second from 8 s to 20 s.
@@ -126,7 +126,7 @@
 
 TEST_F(PoisonRequestTest, EnginesThatEndOfThemselvesPutNobodyInQuarantine) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(7, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 40, fleet.now() + 14s, OrdinaryPrompt);
--- a/tests/core/serving/region_exchange_test.cc
+++ b/tests/core/serving/region_exchange_test.cc
@@ -2,15 +2,15 @@
 // cut or the loss of those that speak for it does.
 #include <gtest/gtest.h>
 
-#include "tests/support/fake_exchanges.h"
+#include "tests/support/fake_exchange_fleet.h"
 
 namespace saltquay::serving {
 namespace {
 
 // Zones a and b lie in north, c and d in south, e and f in east.
 constexpr int kZones = 6;
-const Exchanges::Regions kRegions = {{"a", "north"}, {"b", "north"}, {"c", "south"},
-                                     {"d", "south"}, {"e", "east"},  {"f", "east"}};
+const FakeExchangeFleet::Regions kRegions = {{"a", "north"}, {"b", "north"}, {"c", "south"},
+                                             {"d", "south"}, {"e", "east"},  {"f", "east"}};
 
 class RegionExchangeTest : public ::testing::Test {
  protected:
@@ -33,7 +33,7 @@
   static bool Any(const PeerNode& /*node*/) { return true; }
 
   int per_zone_;
-  Exchanges fleet_;
+  FakeExchangeFleet fleet_;
 };
 
 TEST_F(RegionExchangeTest, AllIsKnownWithinHalfASecondInARegionAndWithinOneElsewhere) {
@@ -53,11 +53,12 @@
   constexpr int kSeconds = 10;
   std::vector<int> before;
   before.reserve(fleet_.size());
-  for (std::size_t i = 0; i < fleet_.size(); ++i) before.push_back(fleet_.sent_across(i));
+  for (std::size_t i = 0; i < fleet_.size(); ++i) before.push_back(fleet_.sent_to_other_regions(i));
   fleet_.Run(std::chrono::seconds(kSeconds));
   int across = 0;
-  for (std::size_t i = 0; i < fleet_.size(); ++i) across += fleet_.sent_across(i) - before[i];
-  // Two speakers of each of three regions to two others, 2.5 a second; a tenth more for what the ticks do not hit.
+  for (std::size_t i = 0; i < fleet_.size(); ++i) across += fleet_.sent_to_other_regions(i) - before[i];
+  // Two region_representatives of each of three regions to two others, 2.5 a second; a tenth more for what the ticks do
+  // not hit.
   EXPECT_LE(across, 3 * 2 * 2 * 3 * kSeconds);
   EXPECT_GT(across, 0);
 }
@@ -123,15 +124,15 @@
   fleet_.set_loss(0.1);
   for (const char zone : {'a', 'c', 'e'}) {
     fleet_.ledger(NodeOf(zone, 6))
-        .NoteEnd(kRequest, EngineKey(static_cast<std::uint64_t>(zone)), fleet_.now(), fleet_.now());
+        .RecordCrash(kRequest, EngineKey(static_cast<std::uint64_t>(zone)), fleet_.now(), fleet_.now());
   }
   fleet_.Run(2500ms);
-  EXPECT_EQ(fleet_.Ignorant(kRequest, 3), 0);
+  EXPECT_EQ(fleet_.CountUninformed(kRequest, 3), 0);
 }
 
 TEST(RegionExchangeLossTest, SumsNeverExceedWhatIsUnderWayThoughMessagesAreLost) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Exchanges fleet(kZones, 4, seed, kRegions);
+    FakeExchangeFleet fleet(kZones, 4, seed, kRegions);
     fleet.set_loss(0.2);
     for (std::size_t i = 0; i < fleet.size(); ++i) fleet.set_work(i, 1);
     for (int step = 0; step < 10; ++step) {
--- a/tests/core/serving/region_roles_test.cc
+++ b/tests/core/serving/region_role_controller_test.cc
@@ -50,13 +50,13 @@
   DemandSum demand_;
   Topology topology_{"a", {{"a", "north"}, {"b", "south"}}, {}};
   DutyLease lease_{"me", "1.1.1.1:1", DutyLeaseTimes{}, 5, Time{0s}};
-  RoleController controller_{RoleControllerKnobs{}, lease_, topology_, Time{0s}};
+  RoleController controller_{RoleControllerParameters{}, lease_, topology_, Time{0s}};
 
  private:
   void Carry(const RoleAction& action, std::vector<RoleAction>& actions) {
     if (const auto* read = std::get_if<ReadEngineState>(&action)) {
       const EngineStage stage = engines_.Find(read->engine_id)->record.stage;
-      controller_.OnEngineState(now_, read->engine_id, EngineStateReport{stage, false, 1}, engines_, actions);
+      controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{stage, false, 1}, engines_, actions);
     }
     if (const auto* order = std::get_if<SendStageOrder>(&action)) {
       EngineRecord record = engines_.Find(order->engine_id)->record;
@@ -106,7 +106,7 @@
   demand_ = {ServiceDemand{"s", 7, 1, 0, 1, "north"}, ServiceDemand{"s", 1, 7, 0, 1, "south"}};
   // Another node holds the lease and renews it: the other side of a cut between the regions.
   for (int i = 0; i < 200; ++i) {
-    lease_.OnHeard(LeaseRecord{"other", "2.2.2.2:1", 9, 0, 100 + i}, now_);
+    lease_.OnPeerRecord(LeaseRecord{"other", "2.2.2.2:1", 9, 0, 100 + i}, now_);
     std::vector<RoleAction> actions;
     controller_.OnTick(now_, true, config_, demand_, engines_, actions);
     for (const RoleAction& action : actions) EXPECT_EQ(std::get_if<SendStageOrder>(&action), nullptr);
--- a/tests/core/serving/retry_budget_test.cc
+++ b/tests/core/serving/retry_budget_test.cc
@@ -18,10 +18,10 @@
 
 class RetryBudgetTest : public ServingFixture {
  protected:
-  static ServingKnobs Knobs() {
-    ServingKnobs knobs;
-    knobs.retry_budget = RetryBudgetBounds{kRatio, kWindow, kSlack, 0.8};
-    return knobs;
+  static ServingParameters Parameters() {
+    ServingParameters parameters;
+    parameters.retry_budget = RetryBudgetBounds{kRatio, kWindow, kSlack, 0.8};
+    return parameters;
   }
   static std::string EngineId(int i) { return (i < kReaders ? "p" : "d") + std::to_string(i); }
   static void AddEngines(ServingFleet& fleet) {
@@ -33,22 +33,22 @@
       fleet.AddEngine(engine);
     }
   }
-  static PromptFacts Prompt(int count) { return LongPrompt("s" + std::to_string(count % 23)); }
+  static PromptMetadata Prompt(int count) { return LongPrompt("s" + std::to_string(count % 23)); }
   static void SetHealth(ServingFleet& fleet, int engines, EngineHealth health) {
     for (int i = 0; i < engines; ++i) fleet.SetHealth(EngineId(i), health);
   }
-  static double Worst(const ServingFleet& fleet) { return fleet.WorstBudget(kRatio, kSlack, kWindow); }
+  static double Worst(const ServingFleet& fleet) { return fleet.MaxBudgetExcess(kRatio, kSlack, kWindow); }
 };
 
 // Guards against: first readings whose connection is reset are sent again without being charged to the budget.
 TEST_F(RetryBudgetTest, HoldsWhileMostEnginesResetMostConnections) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(kNodes, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 32, fleet.now() + 20s, Prompt);
     fleet.RunUntil(fleet.now() + 8s);
-    SetHealth(fleet, kEngines - 1, EngineHealth::kResets);
+    SetHealth(fleet, kEngines - 1, EngineHealth::kResetsConnections);
     fleet.RunUntil(fleet.now() + 14s);
     EXPECT_LE(Worst(fleet), 0) << "seed " << seed;
   }
@@ -57,12 +57,12 @@
 // Guards against: a node that is started again has forgotten what it spent, and spends its part of the slack once more.
 TEST_F(RetryBudgetTest, HoldsWhileNodesAreStartedAgainAndAgain) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(kNodes, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 12, fleet.now() + 24s, Prompt);
     fleet.RunUntil(fleet.now() + 10s);
-    SetHealth(fleet, kEngines - 1, EngineHealth::kResets);
+    SetHealth(fleet, kEngines - 1, EngineHealth::kResetsConnections);
     for (int round = 0; round < 3; ++round) {
       fleet.RunUntil(fleet.now() + 4s);
       for (int node = 0; node < kNodes; ++node) fleet.Restart(node);
@@ -75,14 +75,14 @@
 // Guards against: in a cut that outlasts the window, each side takes the whole slack.
 TEST_F(RetryBudgetTest, HoldsInACutThatOutlastsTheWindow) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    ServingFleet fleet(kNodes, MakeConfig(), Knobs(), seed);
+    ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 12, fleet.now() + 40s, Prompt);
     fleet.RunUntil(fleet.now() + 2s);
     fleet.set_sides({0, 1, 2, 3, 4, 5, 6});
     fleet.RunUntil(fleet.now() + 15s);
-    SetHealth(fleet, kEngines - 1, EngineHealth::kResets);
+    SetHealth(fleet, kEngines - 1, EngineHealth::kResetsConnections);
     fleet.RunUntil(fleet.now() + 20s);
     EXPECT_LE(Worst(fleet), 0) << "seed " << seed;
   }
@@ -92,15 +92,15 @@
 // passes the budget.
 RC_GTEST_FIXTURE_PROP(RetryBudgetTest, HoldsUnderRandomSchedules, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(1, 10000);
-  ServingFleet fleet(kNodes, MakeConfig(), Knobs(), seed);
+  ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
   AddEngines(fleet);
   fleet.Begin();
   fleet.Offer("chat", *rc::gen::inRange(8, 60), fleet.now() + 40s, Prompt);
   const int steps = *rc::gen::inRange(3, 14);
   for (int i = 0; i < steps; ++i) {
     fleet.RunUntil(fleet.now() + std::chrono::milliseconds(*rc::gen::inRange(200, 5000)));
-    const auto health = *rc::gen::element(EngineHealth::kWell, EngineHealth::kGrey, EngineHealth::kSlow,
-                                          EngineHealth::kDark, EngineHealth::kResets);
+    const auto health = *rc::gen::element(EngineHealth::kHealthy, EngineHealth::kFailsOften, EngineHealth::kSlow,
+                                          EngineHealth::kUnresponsive, EngineHealth::kResetsConnections);
     switch (*rc::gen::inRange(0, 4)) {
       case 0:
         SetHealth(fleet, *rc::gen::inRange(1, kEngines + 1), health);
--- a/tests/core/serving/roles_test.cc
+++ b/tests/core/serving/role_controller_test.cc
@@ -8,10 +8,10 @@
 namespace {
 
 TEST(RolePlannerTest, MoreReadingWantsMorePrefillEngines) {
-  const RolePlannerKnobs knobs;
+  const RolePlannerParameters parameters;
   double before = 0;
   for (const double prefill : {0.5, 1.0, 2.0, 4.0}) {
-    const double ideal = IdealPrefillEngines(knobs, {"s", prefill, 1.0}, 9);
+    const double ideal = IdealPrefillEngines(parameters, {"s", prefill, 1.0}, 9);
     EXPECT_GT(ideal, before);
     before = ideal;
   }
@@ -23,7 +23,7 @@
   int decode = *rc::gen::inRange(0, 12);
   RC_PRE(prefill + decode >= 2);
   for (int step = 0; step < 30; ++step) {
-    const auto plan = PlanStageChange(RolePlannerKnobs{}, demand, {prefill, decode, 0, 0, prefill + decode});
+    const auto plan = PlanStageChange(RolePlannerParameters{}, demand, {prefill, decode, 0, 0, prefill + decode});
     if (!plan) return;
     RC_ASSERT(plan->engines >= 1);
     prefill += plan->stage == EngineStage::kPrefill ? plan->engines : -plan->engines;
@@ -36,39 +36,39 @@
 
 TEST(RolePlannerTest, ALargeServiceChangesSeveralEnginesAtATime) {
   // fcl-norte-grown quiet-1: 35 engines read while the ideal was 60 and more, for one changed every four seconds.
-  const RolePlannerKnobs knobs;
-  const auto before_demand = PlanStageChange(knobs, {"s", 0, 0}, {33, 57, 0, 0, 90});
+  const RolePlannerParameters parameters;
+  const auto before_demand = PlanStageChange(parameters, {"s", 0, 0}, {33, 57, 0, 0, 90});
   ASSERT_TRUE(before_demand);
   EXPECT_EQ(before_demand->stage, EngineStage::kPrefill);
   EXPECT_GE(before_demand->engines, 20);
-  const auto under_load = PlanStageChange(knobs, {"s", 40, 5}, {35, 55, 0, 0, 90});
+  const auto under_load = PlanStageChange(parameters, {"s", 40, 5}, {35, 55, 0, 0, 90});
   ASSERT_TRUE(under_load);
   EXPECT_GE(under_load->engines, 5);
   EXPECT_LE(under_load->engines, 9);
-  EXPECT_EQ(PlanStageChange(knobs, {"s", 4, 0.5}, {4, 5, 0, 0, 9})->engines, 1);
+  EXPECT_EQ(PlanStageChange(parameters, {"s", 4, 0.5}, {4, 5, 0, 0, 9})->engines, 1);
 }
 
 // Engines of six places, two thirds of which read: fifteen that answer have 90 places for streams of seconds, and the
 // more urgent displace the others again and again.
 TEST(RolePlannerTest, BeforeAnyDemandMoreEnginesOfFewPlacesAnswer) {
-  const RolePlannerKnobs knobs;
-  EXPECT_DOUBLE_EQ(InitialPrefillShare(knobs, 0), knobs.initial_prefill_share);
-  EXPECT_DOUBLE_EQ(InitialPrefillShare(knobs, 24), knobs.initial_prefill_share);
-  EXPECT_DOUBLE_EQ(InitialPrefillShare(knobs, 128), knobs.initial_prefill_share);
-  EXPECT_LT(InitialPrefillShare(knobs, 16), knobs.initial_prefill_share);
-  EXPECT_NEAR(InitialPrefillShare(knobs, 6), 0.40, 0.01);
+  const RolePlannerParameters parameters;
+  EXPECT_DOUBLE_EQ(InitialPrefillShare(parameters, 0), parameters.initial_prefill_share);
+  EXPECT_DOUBLE_EQ(InitialPrefillShare(parameters, 24), parameters.initial_prefill_share);
+  EXPECT_DOUBLE_EQ(InitialPrefillShare(parameters, 128), parameters.initial_prefill_share);
+  EXPECT_LT(InitialPrefillShare(parameters, 16), parameters.initial_prefill_share);
+  EXPECT_NEAR(InitialPrefillShare(parameters, 6), 0.40, 0.01);
   StageCounts counts{18, 27, 0, 0, 45};
   counts.places = 6;
-  EXPECT_FALSE(PlanStageChange(knobs, {"s", 0, 0}, counts));
+  EXPECT_FALSE(PlanStageChange(parameters, {"s", 0, 0}, counts));
   counts.places = 24;
-  EXPECT_EQ(PlanStageChange(knobs, {"s", 0, 0}, counts)->stage, EngineStage::kPrefill);
+  EXPECT_EQ(PlanStageChange(parameters, {"s", 0, 0}, counts)->stage, EngineStage::kPrefill);
 }
 
 TEST(RolePlannerTest, ChangesOnTheWayCountAsDone) {
-  const RolePlannerKnobs knobs;
-  const double ideal = IdealPrefillEngines(knobs, {"s", 40, 5}, 90);
+  const RolePlannerParameters parameters;
+  const double ideal = IdealPrefillEngines(parameters, {"s", 40, 5}, 90);
   const int missing = static_cast<int>(ideal) - 35;
-  EXPECT_FALSE(PlanStageChange(knobs, {"s", 40, 5}, {35, 55 - missing, missing, 0, 90}));
+  EXPECT_FALSE(PlanStageChange(parameters, {"s", 40, 5}, {35, 55 - missing, missing, 0, 90}));
 }
 
 class ControllerTest : public ::testing::Test {
@@ -120,7 +120,7 @@
   DemandSum demand_;
   DutyLease lease_{"me", "1.1.1.1:1", DutyLeaseTimes{}, 5, Time{0s}};
   Topology topology_{"a", {}, {}};
-  RoleController controller_{RoleControllerKnobs{}, lease_, topology_, Time{0s}};
+  RoleController controller_{RoleControllerParameters{}, lease_, topology_, Time{0s}};
   std::int64_t revision_ = 20;
 };
 
@@ -128,8 +128,8 @@
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
   std::vector<RoleAction> actions;
-  controller_.OnEngineState(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 6}, engines_,
-                            actions);
+  controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 6}, engines_,
+                                actions);
   const auto* order = std::get_if<SendStageOrder>(&actions.front());
   ASSERT_NE(order, nullptr);
   EXPECT_EQ(order->engine_id, read->engine_id);
@@ -143,8 +143,8 @@
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
   std::vector<RoleAction> actions;
-  controller_.OnEngineState(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
-                            actions);
+  controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
+                                actions);
   controller_.OnOrderAnswered(now_, read->engine_id, OrderOutcome::kAccepted, engines_, actions);
   EXPECT_GT(HoldLeft(read->engine_id), 2300ms);
   Add(read->engine_id, EngineStage::kPrefill);
@@ -192,8 +192,8 @@
   const auto first = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(first);
   std::vector<RoleAction> actions;
-  controller_.OnEngineState(now_, first->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
-                            actions);
+  controller_.OnEngineStateRead(now_, first->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
+                                actions);
   controller_.OnOrderAnswered(now_, first->engine_id, OrderOutcome::kAccepted, engines_, actions);
   for (int i = 6; i < 20; ++i) Add("d" + std::to_string(i), EngineStage::kDecode);
   EXPECT_TRUE(TickUntil<ReadEngineState>(2s));
@@ -203,8 +203,8 @@
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
   std::vector<RoleAction> actions;
-  controller_.OnEngineState(now_ + 2s, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
-                            actions);
+  controller_.OnEngineStateRead(now_ + 2s, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
+                                actions);
   EXPECT_TRUE(actions.empty());
 }
 
@@ -212,8 +212,8 @@
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
   std::vector<RoleAction> actions;
-  controller_.OnEngineState(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
-                            actions);
+  controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
+                                actions);
   controller_.OnOrderAnswered(now_, read->engine_id, OrderOutcome::kUnknown, engines_, actions);
   engines_.Find(read->engine_id)->changing_until = Time{};
   const auto next = TickUntil<ReadEngineState>(12s);
@@ -244,7 +244,7 @@
     if (!read) break;
     std::vector<RoleAction> actions;
     const EngineStage stage = engines_.Find(read->engine_id)->record.stage;
-    controller_.OnEngineState(now_, read->engine_id, EngineStateReport{stage, false, 6}, engines_, actions);
+    controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{stage, false, 6}, engines_, actions);
     controller_.OnOrderAnswered(now_, read->engine_id, OrderOutcome::kAccepted, engines_, actions);
     engines_.Remove(read->engine_id);
     Add(read->engine_id + "+", stage);
--- a/tests/core/serving/tenancy_test.cc
+++ b/tests/core/serving/tenancy_test.cc
@@ -20,8 +20,8 @@
     config.routes.back().allows_anonymous = true;
     return config;
   }
-  void ArriveWithKey(const std::string& route, const std::string& key, std::optional<PromptFacts> prompt = std::nullopt,
-                     std::uint64_t fingerprint = 0) {
+  void ArriveWithKey(const std::string& route, const std::string& key,
+                     std::optional<PromptMetadata> prompt = std::nullopt, std::uint64_t fingerprint = 0) {
     RequestArrived arrived;
     arrived.facts.fingerprint = fingerprint;
     arrived.flow = ++last_flow_;
@@ -49,12 +49,12 @@
 TEST_F(TenancyTest, ARequestThatEndsEnginesIsKeptFromThemForItsTenantOnly) {
   constexpr std::uint64_t kRequest = 7;
   const std::uint64_t of_first = HashPair(kRequest, HashText("t1"));
-  Send(CrashesTold{{{of_first, EngineKey("e1")}, {of_first, EngineKey("e2")}, {of_first, EngineKey("e3")}}});
+  Send(PeerCrashesReported{{{of_first, EngineKey("e1")}, {of_first, EngineKey("e2")}, {of_first, EngineKey("e3")}}});
   ArriveWithKey("safe", "key-a", std::nullopt, kRequest);
-  EXPECT_EQ(One<AnswerOwn>().status, kUnavailable);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
   // With the tenant's other key it is the same request; another tenant's is not.
   ArriveWithKey("safe", "key-b", std::nullopt, kRequest);
-  EXPECT_EQ(One<AnswerOwn>().status, kUnavailable);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
   ArriveWithKey("safe", "key-c", std::nullopt, kRequest);
   EXPECT_EQ(One<StartAttempt>().tenant, "t2");
 }
@@ -75,7 +75,7 @@
 TEST_F(TenancyTest, WhoHasNoGoodKeyIsRejectedBeforeAnyEngine) {
   for (const char* key : {"", "key", "key-a ", "KEY-A", "t1"}) {
     ArriveWithKey("safe", key);
-    EXPECT_EQ(One<AnswerOwn>().status, kUnauthorized) << key;
+    EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized) << key;
     EXPECT_TRUE(All<StartAttempt>().empty());
   }
   EXPECT_EQ(core_.flows(), 0U);
@@ -87,29 +87,29 @@
   ArriveWithKey("open", "key-c");
   EXPECT_EQ(One<StartAttempt>().tenant, "t2");
   ArriveWithKey("open", "wrong");
-  EXPECT_EQ(One<AnswerOwn>().status, kUnauthorized);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
 }
 
 TEST_F(TenancyTest, KeysAreTakenAwayAndAddedWithTheVersion) {
   Configure(WithTenants(3, {{"t1", {"key-a"}, 1}, {"t2", {"key-d"}, std::nullopt}, {"t3", {}, std::nullopt}}));
   ArriveWithKey("safe", "key-b");
-  EXPECT_EQ(One<AnswerOwn>().status, kUnauthorized);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
   ArriveWithKey("safe", "key-d");
   EXPECT_EQ(One<StartAttempt>().tenant, "t2");
   Configure(WithTenants(2, {{"t1", {"key-b"}, 1}}));  // Older: it changes nothing.
   ArriveWithKey("safe", "key-b");
-  EXPECT_EQ(One<AnswerOwn>().status, kUnauthorized);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
 }
 
 // A key that this node has not heard of may be new: that is no reason for an answer that callers take as final.
 TEST_F(TenancyTest, AnUnknownKeyIsNoVerdictWhileTheStoreIsNotHeard) {
-  Send(StoreContactChanged{false});
+  Send(StoreConnectivityChanged{false});
   ArriveWithKey("safe", "new-key");
-  const auto answer = One<AnswerOwn>();
+  const auto answer = One<SendLocalReply>();
   EXPECT_EQ(answer.status, kUnavailable);
   EXPECT_TRUE(answer.retry_after);
   ArriveWithKey("safe", "");
-  EXPECT_EQ(One<AnswerOwn>().status, kUnauthorized);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
   ArriveWithKey("safe", "key-a");
   EXPECT_EQ(All<StartAttempt>().size(), 1U);
 }
@@ -125,7 +125,7 @@
 TEST_F(TenancyTest, ATenantWithoutAnyTenantListedIsRejected) {
   Configure(WithTenants(3, {}));
   ArriveWithKey("safe", "key-a");
-  EXPECT_EQ(One<AnswerOwn>().status, kUnauthorized);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
 }
 
 TEST_F(TenancyTest, ATenantsPriorityGoesBeforeTheRoutes) {
@@ -140,17 +140,17 @@
   ArriveWithKey("once", "key-a");
   const auto answered = One<StartAttempt>();
   Answer(answered, 200);
-  EXPECT_EQ(One<RunBegan>().tenant, "t1");
+  EXPECT_EQ(One<ExecutionStarted>().tenant, "t1");
   ArriveWithKey("once", "key-c");
   Answer(One<StartAttempt>(), 503, true);
-  EXPECT_TRUE(All<RunBegan>().empty());  // Refused: it did not run.
+  EXPECT_TRUE(All<ExecutionStarted>().empty());  // Refused: it did not run.
   ArriveWithKey("safe", "key-c");
   const auto first = One<StartAttempt>();
   Head(first, 500);
-  EXPECT_EQ(All<RunBegan>().size(), 1U);
+  EXPECT_EQ(All<ExecutionStarted>().size(), 1U);
   Send(AttemptCompleted{first.flow, first.attempt, ""});
   Answer(One<StartAttempt>(), 200);
-  EXPECT_TRUE(All<RunBegan>().empty());  // It ran again, and is one request.
+  EXPECT_TRUE(All<ExecutionStarted>().empty());  // It ran again, and is one request.
 }
 
 TEST_F(TenancyTest, UsageCountsPlainRequestsThatNobodyWaitsForAnyMore) {
@@ -159,15 +159,15 @@
     const Time sent = now_;
     const FlowId flow = One<StartAttempt>().flow;
     now_ += 20ms;
-    Send(ClientLeft{flow});
-    EXPECT_EQ(One<RunBegan>().began, sent) << route;
+    Send(ClientDisconnected{flow});
+    EXPECT_EQ(One<ExecutionStarted>().began, sent) << route;
   }
   ArriveWithKey("once", "key-c");
   Pass(5s);
-  EXPECT_EQ(One<RunBegan>().tenant, "t2");
+  EXPECT_EQ(One<ExecutionStarted>().tenant, "t2");
   ArriveWithKey("chat", "key-a", LongPrompt());
-  Send(ClientLeft{One<StartAttempt>().flow});
-  EXPECT_TRUE(All<RunBegan>().empty());
+  Send(ClientDisconnected{One<StartAttempt>().flow});
+  EXPECT_TRUE(All<ExecutionStarted>().empty());
 }
 
 TEST_F(TenancyTest, NoLogLineHoldsAKey) {
--- a/tests/core/serving/limit_test.cc
+++ b/tests/core/serving/tenant_limit_test.cc
@@ -11,8 +11,8 @@
 class ScriptedLimiter final : public limits::Limiter {
  public:
   void set_limits(Time, const std::map<std::string, limits::TenantLimit>& limits) override { limits_ = limits; }
-  void set_nodes(Time, const std::vector<limits::LimitNode>&) override {}
-  void set_reach(Time, const limits::Reach&) override {}
+  void set_nodes(Time, const std::vector<limits::LimiterNode>&) override {}
+  void set_reachable_nodes(Time, const limits::Reach&) override {}
   limits::Decision admit(Time, std::uint64_t request, std::string_view, std::int64_t cost) override {
     asked_[request] = cost;
     return next_;
@@ -52,7 +52,7 @@
     return config;
   }
   FlowId ArriveWithKey(const std::string& route, const std::string& key,
-                       std::optional<PromptFacts> prompt = std::nullopt) {
+                       std::optional<PromptMetadata> prompt = std::nullopt) {
     RequestArrived arrived;
     arrived.flow = ++last_flow_;
     arrived.facts.request_id = "r" + std::to_string(last_flow_);
@@ -98,8 +98,8 @@
 TEST_F(LimitTest, ARequestAboveTheLimitIsRejectedWithTheTimeFromWhenItWouldFit) {
   limiter_->next_ = Over(1700ms);
   ArriveWithKey("safe", "key-a");
-  EXPECT_EQ(One<AnswerOwn>().status, kTooManyRequests);
-  EXPECT_EQ(One<AnswerOwn>().retry_after, Duration(1700ms));
+  EXPECT_EQ(One<SendLocalReply>().status, kTooManyRequests);
+  EXPECT_EQ(One<SendLocalReply>().retry_after, Duration(1700ms));
   EXPECT_TRUE(All<StartAttempt>().empty());
   EXPECT_EQ(core_.flows(), 0U);
   EXPECT_TRUE(limiter_->settled_.empty());
@@ -108,8 +108,8 @@
 TEST_F(LimitTest, WhereNobodyCanTellTheRequestIsUnavailable) {
   limiter_->next_ = {limits::Verdict::Refused, 300ms, false, ""};
   ArriveWithKey("safe", "key-a");
-  EXPECT_EQ(One<AnswerOwn>().status, kUnavailable);
-  EXPECT_EQ(One<AnswerOwn>().retry_after, Duration(300ms));
+  EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
+  EXPECT_EQ(One<SendLocalReply>().retry_after, Duration(300ms));
 }
 
 TEST_F(LimitTest, NothingIsSentToAnEngineBeforeTheDecision) {
@@ -128,14 +128,14 @@
   limiter_->next_ = Pending();
   const FlowId flow = ArriveWithKey("safe", "key-a");
   Decide(flow, Over(2s));
-  EXPECT_EQ(One<AnswerOwn>().status, kTooManyRequests);
+  EXPECT_EQ(One<SendLocalReply>().status, kTooManyRequests);
   EXPECT_EQ(core_.flows(), 0U);
 }
 
 TEST_F(LimitTest, WhoLeavesBeforeTheDecisionIsGivenBackAndNotServed) {
   limiter_->next_ = Pending();
   const FlowId flow = ArriveWithKey("safe", "key-a");
-  Send(ClientLeft{flow});
+  Send(ClientDisconnected{flow});
   EXPECT_EQ(limiter_->refunded_, std::vector<std::uint64_t>{flow});
   Decide(flow, {});
   EXPECT_TRUE(All<StartAttempt>().empty());
@@ -145,7 +145,7 @@
   limiter_->next_ = Pending();
   const FlowId flow = ArriveWithKey("safe", "key-a");
   Pass(5s);
-  EXPECT_EQ(One<AnswerOwn>().status, kUnavailable);
+  EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
   EXPECT_EQ(limiter_->refunded_, std::vector<std::uint64_t>{flow});
 }
 
@@ -204,7 +204,7 @@
 TEST_F(LimitTest, APromptThatIsBeingReadIsGivenBack) {
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
   ASSERT_EQ(One<StartAttempt>().mode, AttemptMode::kPrefill);
-  Send(ClientLeft{flow});
+  Send(ClientDisconnected{flow});
   EXPECT_EQ(limiter_->refunded_, std::vector<std::uint64_t>{flow});
   EXPECT_TRUE(limiter_->settled_.empty());
 }
@@ -213,7 +213,7 @@
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
   ASSERT_EQ(One<StartAttempt>().mode, AttemptMode::kContinue);
-  Send(ClientLeft{flow});
+  Send(ClientDisconnected{flow});
   EXPECT_EQ(limiter_->settled_, std::vector<std::uint64_t>{flow});
   EXPECT_TRUE(limiter_->refunded_.empty());
 }
--- a/tests/duties/capacity_test.cc
+++ b/tests/duties/capacity_test.cc
@@ -15,12 +15,12 @@
 
 TEST(CapacityPlannerTest, MoreDemandWantsMoreEnginesAndSpotOnesMoreToSpare)
 {
-    CapacityKnobs const knobs;
-    auto const some = engines_wanted(knobs, { "s", 30, 10 }, scaling(0.2), 3);
-    EXPECT_GT(engines_wanted(knobs, { "s", 60, 10 }, scaling(0.2), 3), some);
-    EXPECT_LT(engines_wanted(knobs, { "s", 30, 10 }, scaling(std::nullopt), 3), some);
+    CapacityPlannerParameters const parameters;
+    auto const some = target_engine_count(parameters, { "s", 30, 10 }, scaling(0.2), 3);
+    EXPECT_GT(target_engine_count(parameters, { "s", 60, 10 }, scaling(0.2), 3), some);
+    EXPECT_LT(target_engine_count(parameters, { "s", 30, 10 }, scaling(std::nullopt), 3), some);
     // What is left when a zone's spot engines are gone and a fifth of the others fails is enough.
-    EXPECT_GE(some * (1 - 1.0 / 3 - knobs.failing_share), 40);
+    EXPECT_GE(some * (1 - 1.0 / 3 - parameters.failure_allowance), 40);
 }
 
 RC_GTEST_PROP(CapacityPlannerProperty, SharesKeepTheLimits, ())
@@ -28,7 +28,7 @@
     auto const limits = scaling(*rc::gen::element<std::optional<double>>(std::nullopt, 0.18));
     auto const wanted = *rc::gen::inRange(0, 400);
     auto sum = 0;
-    for (auto const& [zone, engines] : share_out(CapacityKnobs {}, limits, wanted)) {
+    for (auto const& [zone, engines] : distribute_over_zones(CapacityPlannerParameters {}, limits, wanted)) {
         RC_ASSERT(engines.all() >= limits.min);
         RC_ASSERT(engines.all() <= limits.max);
         RC_ASSERT(limits.spot_price || engines.spot == 0);
@@ -69,7 +69,8 @@
     }
     int ordinary_share_of(std::string const& zone) const
     {
-        return static_cast<int>(std::ceil(CapacityKnobs {}.ordinary_share * (count(zone, false) + count(zone, true))));
+        return static_cast<int>(
+            std::ceil(CapacityPlannerParameters {}.on_demand_share * (count(zone, false) + count(zone, true))));
     }
     int total() const
     {
@@ -89,24 +90,24 @@
         for (auto const& id : gone)
             engines_.Remove(id);
     }
-    void carry_out(EngineOrder const& order)
+    void carry_out(ScalingOrder const& order)
     {
         ++orders_;
         ordinary_orders_ += order.spot ? 0 : 1;
         if (order.spot)
             least_spot_order_ = std::min(least_spot_order_, order.engines);
         if (order.spot && no_spot_) {
-            controller_.on_ordered(now_, order, DutyOutcome::Refused);
+            controller_.on_order_completed(now_, order, DutyOutcome::Refused);
             return;
         }
-        controller_.on_ordered(now_, order, DutyOutcome::Done);
+        controller_.on_order_completed(now_, order, DutyOutcome::Done);
         EXPECT_LE(order.engines, 94);
         if (order.engines < count(order.zone, order.spot))
             shrink(order.zone, order.spot, order.engines);
         for (auto i = count(order.zone, order.spot) + booting(order); i < order.engines; ++i)
             booting_.push_back({ now_ + 4s, order.zone, order.spot });
     }
-    int booting(EngineOrder const& order) const
+    int booting(ScalingOrder const& order) const
     {
         return static_cast<int>(std::count_if(booting_.begin(), booting_.end(),
             [&](auto const& engine) { return engine.zone == order.zone && engine.spot == order.spot; }));
@@ -124,7 +125,7 @@
             std::vector<CapacityAction> actions;
             controller_.step(now_, holds, 1, config_, demand_, engines_, actions);
             for (auto const& action : actions) {
-                if (auto const* order = std::get_if<EngineOrder>(&action))
+                if (auto const* order = std::get_if<ScalingOrder>(&action))
                     carry_out(*order);
             }
             least_ = std::min(least_, total());
@@ -141,7 +142,7 @@
     serving::ServingConfig config_;
     serving::EngineDirectory engines_ { serving::EjectionPolicy {} };
     std::map<std::string, serving::ServiceDemand> demand_;
-    CapacityController controller_ { CapacityControllerKnobs {} };
+    CapacityController controller_ { CapacityControllerParameters {} };
     std::vector<Booting> booting_;
     bool no_spot_ = false;
     int last_id_ = 0;
@@ -154,7 +155,7 @@
 TEST_F(CapacityControllerTest, BeforeTrafficOrdinaryEnginesAreExchangedOnceSpotOnesServe)
 {
     run(20s);
-    EXPECT_EQ(total(), static_cast<int>(std::ceil(120 * CapacityKnobs {}.cold_factor)));
+    EXPECT_EQ(total(), static_cast<int>(std::ceil(120 * CapacityPlannerParameters {}.cold_start_factor)));
     EXPECT_GE(least_, 120); // Never fewer on the way.
     for (auto const* zone : { "a", "b", "c" })
         EXPECT_EQ(count(zone, false), ordinary_share_of(zone));
@@ -169,9 +170,9 @@
         for (auto i = 0; i < 20; ++i)
             add(zone, false);
     }
-    CapacityControllerKnobs knobs;
-    knobs.planner.cold_factor = 2;
-    controller_ = CapacityController(knobs);
+    CapacityControllerParameters parameters;
+    parameters.planner.cold_start_factor = 2;
+    controller_ = CapacityController(parameters);
     run(30s);
     EXPECT_EQ(total(), 3 * 94);
     EXPECT_GE(least_, 180);
@@ -255,7 +256,7 @@
     // 94 ordinary engines for a zone's loss, and kept them.
     run(20s);
     demand_["s"] = { "s", 55, 5 };
-    controller_ = CapacityController(CapacityControllerKnobs {});
+    controller_ = CapacityController(CapacityControllerParameters {});
     run(10s);
     no_spot_ = true;
     shrink("a", true, 0);
--- a/tests/duties/fleet_clock_test.cc
+++ b/tests/duties/fleet_clock_test.cc
@@ -13,7 +13,7 @@
     void hear(int count, std::int64_t milliseconds)
     {
         for (auto i = 0; i < count; ++i)
-            clock_.note_peer("n" + std::to_string(next_++), now_, wall(milliseconds));
+            clock_.record_peer_clock("n" + std::to_string(next_++), now_, wall(milliseconds));
     }
 
     FleetClock clock_;
@@ -23,13 +23,13 @@
 
 TEST_F(FleetClockTest, AloneItsOwnClockStands)
 {
-    clock_.note_own(now_, wall(5000));
+    clock_.record_own_clock(now_, wall(5000));
     EXPECT_EQ(clock_.at(now_ + 1s), wall(6000));
 }
 
 TEST_F(FleetClockTest, AMinorityOfWrongClocksMovesNothing)
 {
-    clock_.note_own(now_, wall(5000));
+    clock_.record_own_clock(now_, wall(5000));
     hear(6, 5001);
     hear(3, 3000);
     EXPECT_NEAR((clock_.at(now_) - wall(5000)).count(), 0, 1);
@@ -38,16 +38,16 @@
 TEST_F(FleetClockTest, AMachineWhoseOwnClockJumpsKeepsTheFleetsTime)
 {
     hear(5, 5000);
-    clock_.note_own(now_, wall(7000));
+    clock_.record_own_clock(now_, wall(7000));
     EXPECT_EQ(clock_.at(now_), wall(5000));
-    EXPECT_EQ(clock_.own_error(now_).count(), 2000);
+    EXPECT_EQ(clock_.own_clock_error(now_).count(), 2000);
 }
 
 TEST_F(FleetClockTest, WhatWasHeardLongAgoDoesNotCount)
 {
     hear(5, 5000);
     now_ += 20s;
-    clock_.note_own(now_, wall(90000));
+    clock_.record_own_clock(now_, wall(90000));
     EXPECT_EQ(clock_.at(now_), wall(90000));
 }
 
--- a/tests/duties/usage_test.cc
+++ b/tests/duties/usage_test.cc
@@ -39,14 +39,14 @@
     counter.note("b", wall(5000), Time { 2s });
     counter.note("b", wall(6000), Time { 3s });
     EXPECT_EQ(counter.all(), (std::vector<UsageCount> { { 0, "a", 1 }, { 1, "b", 2 } }));
-    EXPECT_EQ(counter.changed_since(Time { 2500ms }), (std::vector<UsageCount> { { 1, "b", 2 } }));
+    EXPECT_EQ(counter.counts_changed_since(Time { 2500ms }), (std::vector<UsageCount> { { 1, "b", 2 } }));
     counter.forget_before(1);
     EXPECT_EQ(counter.all(), (std::vector<UsageCount> { { 1, "b", 2 } }));
 }
 
 class UsageTableTest : public ::testing::Test {
 protected:
-    UsageTable table_ { UsageTableKnobs {}, Time { 0s } };
+    UsageAggregator table_ { UsageAggregatorParameters {}, Time { 0s } };
     Time now_ { 10s };
 };
 
@@ -72,7 +72,7 @@
     table_.note(usage("n3", 1, 6, {}), now_);
     EXPECT_FALSE(table_.is_complete(7, now_ + 5s));
     EXPECT_TRUE(table_.is_complete(7, now_ + 7s)); // It is gone.
-    table_.begin_round(now_ + 7s);
+    table_.restart_collection(now_ + 7s);
     EXPECT_FALSE(table_.is_complete(7, now_ + 7s));
 }
 
@@ -80,7 +80,7 @@
 {
     table_.note(usage("n1", 1, 7, { { 7, "a", 5 }, { 7, "b", 6 }, { 8, "a", 1 } }), now_);
     table_.note(usage("me", 1, 7, { { 7, "a", 5 } }), now_);
-    UsageTable other { UsageTableKnobs {}, Time { 0s } };
+    UsageAggregator other { UsageAggregatorParameters {}, Time { 0s } };
     auto const messages = table_.contributions("me", 2);
     EXPECT_EQ(messages.size(), 2U);
     for (auto const& message : messages)
@@ -109,8 +109,8 @@
         return found;
     }
 
-    UsageTable table_ { UsageTableKnobs {}, Time { 0s } };
-    UsageReporter reporter_ { UsageReporterKnobs {}, windows };
+    UsageAggregator table_ { UsageAggregatorParameters {}, Time { 0s } };
+    UsageReporter reporter_ { UsageReporterParameters {}, windows };
     Time now_ {};
 };
 
@@ -132,7 +132,7 @@
     EXPECT_EQ(again[0].report.counts, (TenantCounts { { "a", 5 } }));
     reporter_.on_sent(now_, 7, DutyOutcome::Done);
     EXPECT_TRUE(all<SendUsageReport>(step(43000)).empty());
-    EXPECT_EQ(reporter_.sealed_through(), 7);
+    EXPECT_EQ(reporter_.last_sealed_window(), 7);
 }
 
 TEST_F(UsageReporterTest, NodesThatAreSilentAreWaitedForButNotTooLong)
@@ -180,7 +180,7 @@
         return actions;
     }
 
-    UsageTable fresh_ { UsageTableKnobs {}, Time { 0s } };
+    UsageAggregator fresh_ { UsageAggregatorParameters {}, Time { 0s } };
 };
 
 TEST_F(AfterARestartOfAllTest, AWindowOfWhichNobodyIsLeftIsNotMadeUp)
@@ -233,7 +233,7 @@
 
     Time now() const { return Time { std::chrono::milliseconds(now_ms_) }; }
 
-    void step(std::size_t index, std::int64_t tenure)
+    void step(std::size_t index, std::int64_t lease_token)
     {
         luck_ = *rc::gen::inRange(0, 10);
         hear(tables_[index]);
@@ -243,7 +243,7 @@
         }
         UsageActions actions;
         auto& reporter = reporters_[index];
-        reporter.step(now(), wall(now_ms_), luck_ != 8, tenure, 7, tables_[index], actions);
+        reporter.step(now(), wall(now_ms_), luck_ != 8, lease_token, 7, tables_[index], actions);
         for (auto const& action : actions) {
             if (std::holds_alternative<ReadSealedUsage>(action))
                 reporter.on_read(now(), luck_ == 7 ? std::nullopt : std::optional(stored_));
@@ -257,7 +257,7 @@
         }
     }
     // Each knows something else.
-    void hear(UsageTable& table) const
+    void hear(UsageAggregator& table) const
     {
         auto const window = now_ms_ / 5000;
         table.note(usage("n" + std::to_string(*rc::gen::inRange(0, 4)), 1, window - *rc::gen::inRange(0, 2),
@@ -291,8 +291,8 @@
     }
 
     bool seals_first_;
-    std::vector<UsageReporter> reporters_ { nodes, UsageReporter(UsageReporterKnobs {}, windows) };
-    std::vector<UsageTable> tables_ { nodes, UsageTable(UsageTableKnobs {}, Time { 0s }) };
+    std::vector<UsageReporter> reporters_ { nodes, UsageReporter(UsageReporterParameters {}, windows) };
+    std::vector<UsageAggregator> tables_ { nodes, UsageAggregator(UsageAggregatorParameters {}, Time { 0s }) };
     SealedUsage stored_;
     std::int64_t revision_ = 10;
     std::vector<SealedUsage> late_writes_;
--- a/tests/gateway/pieces_test.cc
+++ b/tests/gateway/gateway_components_test.cc
@@ -34,7 +34,7 @@
   }
   RC_ASSERT(passed == whole);
   RC_ASSERT(splitter.last_event_id() == "30");
-  RC_ASSERT(splitter.TakeRest() == "id: 31\ndata: cut");
+  RC_ASSERT(splitter.TakeIncompleteEvent() == "id: 31\ndata: cut");
 }
 
 http::RequestHead ClientHead() {
@@ -58,7 +58,7 @@
 }
 
 TEST(EngineProtocolTest, ReadsWhatTheCallerTold) {
-  const serving::RequestFacts facts = EngineProtocol(EngineProtocolNames{}).ReadRequest(ClientHead());
+  const serving::RequestMetadata facts = EngineProtocol(EngineProtocolFields{}).DecodeRequest(ClientHead());
   EXPECT_EQ(facts.request_id, "r1");
   EXPECT_EQ(facts.host, "h.example");
   EXPECT_EQ(facts.path, "/a/b");
@@ -75,7 +75,7 @@
   attempt.engine_id = "e7";
   attempt.time_left = 1234ms;
   attempt.priority = 2;
-  const http::RequestHead head = EngineProtocol(EngineProtocolNames{}).MakeRequest(ClientHead(), attempt);
+  const http::RequestHead head = EngineProtocol(EngineProtocolFields{}).MakeRequest(ClientHead(), attempt);
   EXPECT_EQ(head.target, "/a/b?c=1");
   EXPECT_FALSE(head.fields.Has("Saltquay-Stage"));
   EXPECT_FALSE(head.fields.Has("Saltquay-Memory-Source"));
@@ -95,25 +95,25 @@
   head.fields.Add("Saltquay-Tokens", "99999999999999999999,x");
   head.fields.Add("Saltquay-Deadline-Ms", "-5");
   head.fields.Add("Saltquay-Prompt-Parts", ",,:,a:,b:-1");
-  const serving::RequestFacts facts = EngineProtocol(EngineProtocolNames{}).ReadRequest(head);
+  const serving::RequestMetadata facts = EngineProtocol(EngineProtocolFields{}).DecodeRequest(head);
   EXPECT_EQ(facts.deadline, Duration(0));
   ASSERT_TRUE(facts.prompt);
   EXPECT_EQ(facts.prompt->tokens, 0);
 }
 
 TEST(EngineProtocolTest, AnswersSayWhetherTheyRan) {
-  const EngineProtocol protocol{EngineProtocolNames{}};
+  const EngineProtocol protocol{EngineProtocolFields{}};
   http::ResponseHead head;
   head.status = 503;
-  EXPECT_FALSE(protocol.ReadAnswer(head).not_executed);
+  EXPECT_FALSE(protocol.DecodeResponse(head).not_executed);
   head.fields.Add("Saltquay-Not-Executed", "1");
   head.fields.Add("Saltquay-Load", "3, 1,8");
-  EXPECT_TRUE(protocol.ReadAnswer(head).not_executed);
-  EXPECT_EQ(protocol.ReadAnswer(head).load->waiting, 1);
+  EXPECT_TRUE(protocol.DecodeResponse(head).not_executed);
+  EXPECT_EQ(protocol.DecodeResponse(head).load->waiting, 1);
   head.fields.Add("Saltquay-Request-Id", "other");
   EXPECT_FALSE(protocol.Answers(head, "r1"));
-  EXPECT_EQ(protocol.ReadHandle(R"({"handle":"h1"})"), "h1");
-  EXPECT_EQ(protocol.ReadHandle("not json"), "");
+  EXPECT_EQ(protocol.DecodeKvHandle(R"({"handle":"h1"})"), "h1");
+  EXPECT_EQ(protocol.DecodeKvHandle("not json"), "");
   EXPECT_FALSE(protocol.ReadState("[]"));
   EXPECT_EQ(protocol.ReadState(R"({"stage":"prefill","sequence":3,"busy":true})")->sequence, 3);
 }
@@ -148,7 +148,7 @@
   const auto settings = ParseGatewaySettings(kSettings, "f");
   ASSERT_TRUE(settings.ok()) << settings.status();
   EXPECT_EQ(settings->grace, std::chrono::milliseconds(8000));
-  EXPECT_EQ(settings->knobs.retry_budget.slack, 54);
+  EXPECT_EQ(settings->parameters.retry_budget.slack, 54);
   EXPECT_TRUE(settings->changes_roles);
 }
 
@@ -156,9 +156,9 @@
   const auto none = ParseGatewaySettings(
       std::string(kSettings) + "[policy]\nreading_order = \"none\"\noverflow = false\nrefuse_excess = false\n", "f");
   ASSERT_TRUE(none.ok()) << none.status();
-  EXPECT_EQ(none->knobs.reading_order, admission::OrderPolicy::None);
-  EXPECT_FALSE(none->knobs.overflows);
-  EXPECT_FALSE(none->knobs.refuses_excess);
+  EXPECT_EQ(none->parameters.prefill_order, admission::QueuePolicy::None);
+  EXPECT_FALSE(none->parameters.allows_overflow);
+  EXPECT_FALSE(none->parameters.sheds_load);
 }
 
 TEST(GatewaySettingsTest, TheQuarantineCanBeSetAndTurnedOff) {
@@ -167,11 +167,12 @@
       "store_address = \"127.0.0.1:3\"\n";
   const auto settings = ParseGatewaySettings(base + "[policy]\nquarantine_ends = 2\nquarantine_s = 900\n", "f");
   ASSERT_TRUE(settings.ok()) << settings.status();
-  EXPECT_EQ(settings->knobs.crashes.most_ends, 2);
-  EXPECT_EQ(settings->knobs.crashes.quarantine, Duration(900s));
-  EXPECT_EQ(settings->knobs.crashes.memory, Duration(1800s));
-  EXPECT_EQ(ParseGatewaySettings(base, "f")->knobs.crashes.quarantine, Duration(300s));
-  EXPECT_EQ(ParseGatewaySettings(base + "[policy]\nquarantine_s = 0\n", "f")->knobs.crashes.quarantine, Duration(0s));
+  EXPECT_EQ(settings->parameters.crashes.quarantine_threshold, 2);
+  EXPECT_EQ(settings->parameters.crashes.quarantine, Duration(900s));
+  EXPECT_EQ(settings->parameters.crashes.memory, Duration(1800s));
+  EXPECT_EQ(ParseGatewaySettings(base, "f")->parameters.crashes.quarantine, Duration(300s));
+  EXPECT_EQ(ParseGatewaySettings(base + "[policy]\nquarantine_s = 0\n", "f")->parameters.crashes.quarantine,
+            Duration(0s));
 }
 
 TEST(GatewaySettingsTest, DutiesAndCapacityAreRead) {
@@ -199,7 +200,7 @@
   ASSERT_TRUE(stopped.ok()) << stopped.status();
   EXPECT_TRUE(stopped->duties.reports_usage);
   EXPECT_FALSE(stopped->duties.orders_engines);
-  EXPECT_EQ(stopped->capacity.cold_factor, 2);
+  EXPECT_EQ(stopped->capacity.cold_start_factor, 2);
   EXPECT_FALSE(ParseGatewaySettings(base + "[capacity]\nordinary_share = 2\n", "f").ok());
 }
 
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -32,10 +32,10 @@
     GatewaySettings settings;
     settings.node_name = "node-1";
     settings.zone = "a";
-    settings.knobs.retry_budget.slack = 100;
+    settings.parameters.retry_budget.slack = 100;
     settings.first_start = true;  // No earlier process has spent any of it.
-    gateway_ = std::make_unique<Gateway>(loop_, settings, EngineProtocol(EngineProtocolNames{}), *log_, 3);
-    // It has no peers and knows it, as Coordination tells one that listens for none.
+    gateway_ = std::make_unique<Gateway>(loop_, settings, EngineProtocol(EngineProtocolFields{}), *log_, 3);
+    // It has no peers and knows it, as FleetCoordinator tells one that listens for none.
     gateway_->Dispatch(serving::PeersChanged{});
     server_ = std::move(
         *http::Server::Listen(loop_, "127.0.0.1:0", http::ServerLimits{},
@@ -76,7 +76,7 @@
     }
     gateway_->Dispatch(serving::ConfigurationChanged{config});
     gateway_->Dispatch(replaced);
-    gateway_->Dispatch(serving::StoreContactChanged{true});
+    gateway_->Dispatch(serving::StoreConnectivityChanged{true});
     thread_ = std::thread([this] { loop_.run(); });
   }
 
@@ -123,7 +123,7 @@
     std::istringstream lines(std::string(text.data(), static_cast<std::size_t>(size)));
     LogExplainer explainer;
     explainer.Read(lines, "log");
-    EXPECT_TRUE(explainer.bad_lines().empty());
+    EXPECT_TRUE(explainer.unparsed_lines().empty());
     std::string all;
     for (const LogLine& line : explainer.Request(id)) all += FormatLogLine(line) + "\n";
     return all;
@@ -288,8 +288,8 @@
       "noise\n{\"time_ms\":2,\"name\":\"request_routed\",\"request\":\"r\",\"process\":\"n\"}\n{\"cut\":\n");
   LogExplainer explainer;
   explainer.Read(log, "f");
-  ASSERT_EQ(explainer.bad_lines().size(), 2U);
-  EXPECT_EQ(explainer.bad_lines()[1].number, 3);
+  ASSERT_EQ(explainer.unparsed_lines().size(), 2U);
+  EXPECT_EQ(explainer.unparsed_lines()[1].number, 3);
   EXPECT_EQ(explainer.Request("r").size(), 1U);
   EXPECT_TRUE(explainer.Request("other").empty());
 }
--- a/tests/gateway/limit_codec_test.cc
+++ b/tests/gateway/limit_codec_test.cc
@@ -18,43 +18,44 @@
 }
 
 TEST(LimitCodecTest, AnAskSurvivesTheWire) {
-  const limits::LimitAsk sent{{~0ULL, 2}, 3, 57000, "10.0.0.1:7001", 2, ~0ULL - 1, true};
+  const limits::ChargeRequest sent{{~0ULL, 2}, 3, 57000, "10.0.0.1:7001", 2, ~0ULL - 1, true};
   const auto asks = Carried({sent});
   ASSERT_EQ(asks.size(), 1U);
-  const auto& ask = std::get<limits::LimitAsk>(asks[0]);
+  const auto& ask = std::get<limits::ChargeRequest>(asks[0]);
   EXPECT_EQ(ask.charge, sent.charge);
   EXPECT_EQ(ask.tenant, sent.tenant);
   EXPECT_EQ(ask.cost, sent.cost);
   EXPECT_EQ(ask.reply_to, sent.reply_to);
   EXPECT_EQ(ask.forwards, sent.forwards);
-  EXPECT_EQ(ask.silent_home, sent.silent_home);
+  EXPECT_EQ(ask.unresponsive_owner, sent.unresponsive_owner);
   EXPECT_TRUE(ask.declined);
 }
 
 TEST(LimitCodecTest, AnswersAndRefundsSurviveTheWire) {
-  const auto messages = Carried({limits::LimitAnswer{{1, 2}, false, 1234ms, "node-a"}, limits::LimitRefund{{5, 6}, 7}});
+  const auto messages =
+      Carried({limits::ChargeResponse{{1, 2}, false, 1234ms, "node-a"}, limits::ChargeRefund{{5, 6}, 7}});
   ASSERT_EQ(messages.size(), 2U);
-  const auto& answer = std::get<limits::LimitAnswer>(messages[0]);
-  EXPECT_EQ(answer.charge, (limits::ChargeKey{1, 2}));
+  const auto& answer = std::get<limits::ChargeResponse>(messages[0]);
+  EXPECT_EQ(answer.charge, (limits::ChargeId{1, 2}));
   EXPECT_FALSE(answer.admitted);
   EXPECT_EQ(answer.retry_after, Duration(1234ms));
-  EXPECT_EQ(answer.home, "node-a");
-  const auto& refund = std::get<limits::LimitRefund>(messages[1]);
-  EXPECT_EQ(refund.charge, (limits::ChargeKey{5, 6}));
+  EXPECT_EQ(answer.owner, "node-a");
+  const auto& refund = std::get<limits::ChargeRefund>(messages[1]);
+  EXPECT_EQ(refund.charge, (limits::ChargeId{5, 6}));
   EXPECT_EQ(refund.tenant, 7U);
 }
 
 // Whoever comes back at the time that it was told finds the bucket full enough.
 TEST(LimitCodecTest, ATimeIsRoundedUpToTheWiresUnit) {
-  const auto messages = Carried({limits::LimitAnswer{{1, 2}, false, 1234001us, "a"}});
-  EXPECT_EQ(std::get<limits::LimitAnswer>(messages.at(0)).retry_after, Duration(1235ms));
+  const auto messages = Carried({limits::ChargeResponse{{1, 2}, false, 1234001us, "a"}});
+  EXPECT_EQ(std::get<limits::ChargeResponse>(messages.at(0)).retry_after, Duration(1235ms));
 }
 
 TEST(LimitCodecTest, ProbesOfEachKindSurviveTheWire) {
-  using Kind = limits::HomeProbe::Kind;
+  using Kind = limits::OwnerProbe::Kind;
   for (const Kind kind : {Kind::Probe, Kind::Reply, Kind::Survey, Kind::SurveyReply, Kind::Relay, Kind::RelayReply}) {
-    const auto messages = Carried({limits::HomeProbe{kind, 1, 2, "10.0.0.2:7001", 65}});
-    const auto& probe = std::get<limits::HomeProbe>(messages.at(0));
+    const auto messages = Carried({limits::OwnerProbe{kind, 1, 2, "10.0.0.2:7001", 65}});
+    const auto& probe = std::get<limits::OwnerProbe>(messages.at(0));
     EXPECT_EQ(probe.kind, kind);
     EXPECT_EQ(probe.from, 1U);
     EXPECT_EQ(probe.about, 2U);
@@ -64,13 +65,13 @@
 }
 
 TEST(LimitCodecTest, HandOversSurviveTheWire) {
-  const auto messages = Carried({limits::BucketHandOver{1, 2, {3, 4}, -1234.5, false, 12, true}});
-  const auto& message = std::get<limits::BucketHandOver>(messages.at(0));
+  const auto messages = Carried({limits::BucketHandoff{1, 2, {3, 4}, -1234.5, false, 12, true}});
+  const auto& message = std::get<limits::BucketHandoff>(messages.at(0));
   EXPECT_EQ(message.tenant, 1U);
   EXPECT_EQ(message.from, 2U);
-  EXPECT_EQ(message.key, (limits::ChargeKey{3, 4}));
+  EXPECT_EQ(message.key, (limits::ChargeId{3, 4}));
   EXPECT_EQ(message.level, -1234.5);
-  EXPECT_FALSE(message.settled);
+  EXPECT_FALSE(message.established);
   EXPECT_EQ(message.fleet, 12);
   EXPECT_TRUE(message.declined);
 }
@@ -78,7 +79,7 @@
 std::optional<limits::LimitMessage> Decoded(std::uint8_t kind, std::uint8_t step) {
   flatbuffers::FlatBufferBuilder builder;
   builder.Finish(wire::CreateLimitMessage(builder, kind, 0, 0, 0, 0, 0, 0, 0, false, 0, step));
-  return LimitFromWire(*flatbuffers::GetRoot<wire::LimitMessage>(builder.GetBufferPointer()));
+  return LimitMessageFromWire(*flatbuffers::GetRoot<wire::LimitMessage>(builder.GetBufferPointer()));
 }
 
 TEST(LimitCodecTest, KindsOfANewerVersionAreLeftOut) {
@@ -88,7 +89,7 @@
   for (const int unknown : {0, 6, 255}) EXPECT_FALSE(Decoded(static_cast<std::uint8_t>(unknown), 0)) << unknown;
 }
 
-// A tenant of a thousand requests a second costs its home's link about 0.3 MB a second each way.
+// A tenant of a thousand requests a second costs its owner's link about 0.3 MB a second each way.
 TEST(LimitCodecTest, AnAskAndItsAnswerAreSmall) {
   const auto size = [](const limits::LimitMessage& message) {
     serving::PeerReport report;
@@ -96,8 +97,8 @@
     report.limits = {message};
     return EncodeReport(report).size();
   };
-  EXPECT_EQ(size(limits::LimitAsk{{1, 2}, 3, 9200, "10.0.12.34:7001", 0, 0, false}), 272U);
-  EXPECT_EQ(size(limits::LimitAnswer{{1, 2}, true, 0s, "gateway-12"}), 248U);
+  EXPECT_EQ(size(limits::ChargeRequest{{1, 2}, 3, 9200, "10.0.12.34:7001", 0, 0, false}), 272U);
+  EXPECT_EQ(size(limits::ChargeResponse{{1, 2}, true, 0s, "gateway-12"}), 248U);
 }
 
 }  // namespace
--- a/tests/gateway/quarantine_store_test.cc
+++ b/tests/gateway/quarantine_store_test.cc
@@ -68,16 +68,18 @@
   Node(boost::asio::io_context& loop, ObjectStore& store, bool reads)
       : loop_(loop),
         log_(LogStreamOptions{}),
-        gateway_(loop, GatewaySettings{}, EngineProtocol(EngineProtocolNames{}), log_, 1),
+        gateway_(loop, GatewaySettings{}, EngineProtocol(EngineProtocolFields{}), log_, 1),
         quarantine_(gateway_, store, reads, 1) {}
 
   void NoteEnds(int from, int to) {
     const Time now = gateway_.Now();
     for (int i = from; i <= to; ++i) {
-      gateway_.core().crashes().NoteEnd(kRequest, serving::EngineKey(static_cast<std::uint64_t>(i)), now, now);
+      gateway_.core().crashes().RecordCrash(kRequest, serving::EngineKey(static_cast<std::uint64_t>(i)), now, now);
     }
   }
-  bool InQuarantine() { return gateway_.core().crashes().QuarantineLeft(kRequest, gateway_.Now()).has_value(); }
+  bool QuarantinedCount() {
+    return gateway_.core().crashes().QuarantineRemaining(kRequest, gateway_.Now()).has_value();
+  }
   void Run(std::chrono::milliseconds time) {
     const auto until = std::chrono::steady_clock::now() + time;
     while (std::chrono::steady_clock::now() < until) {
@@ -103,9 +105,9 @@
     node.Run(1200ms);
   }
   Node next(loop, store, true);
-  EXPECT_FALSE(next.InQuarantine());
+  EXPECT_FALSE(next.QuarantinedCount());
   next.Run(1200ms);
-  EXPECT_TRUE(next.InQuarantine());
+  EXPECT_TRUE(next.QuarantinedCount());
   EXPECT_EQ(store.writes, 1);
   // It was told, and adds nothing.
   EXPECT_EQ(store.reads, 2);
@@ -137,7 +139,7 @@
   EXPECT_EQ(store.writes, 2);  // What the second wrote was found there, though its answer was lost.
   Node next(loop, store, true);
   next.Run(1200ms);
-  EXPECT_TRUE(next.InQuarantine());
+  EXPECT_TRUE(next.QuarantinedCount());
 }
 
 TEST(QuarantineStoreTest, AStoreThatIsDownIsAskedMoreAndMoreSeldom) {
--- a/tests/gateway/traffic_meter_test.cc
+++ b/tests/gateway/traffic_meter_test.cc
@@ -13,9 +13,9 @@
   meter.Count(TrafficKind::kRequest, "a2", 20);
   meter.Count(TrafficKind::kRequest, "b1", 300);
   meter.Count(TrafficKind::kRecords, "b1", 4000);
-  EXPECT_EQ(meter.bytes(TrafficKind::kRequest, TrafficReach::kZone), 1U);
-  EXPECT_EQ(meter.bytes(TrafficKind::kRequest, TrafficReach::kRegion), 20U);
-  EXPECT_EQ(meter.bytes(TrafficKind::kRequest, TrafficReach::kFar), 300U);
+  EXPECT_EQ(meter.bytes(TrafficKind::kRequest, TrafficLocality::kZone), 1U);
+  EXPECT_EQ(meter.bytes(TrafficKind::kRequest, TrafficLocality::kRegion), 20U);
+  EXPECT_EQ(meter.bytes(TrafficKind::kRequest, TrafficLocality::kOtherRegion), 300U);
   EXPECT_EQ(meter.Summary(), R"("request":[1,20,300],"records":[0,0,4000])");
 }
 
@@ -23,7 +23,7 @@
   const serving::Topology topology("a", {}, {});
   TrafficMeter meter(topology);
   meter.Count(TrafficKind::kReport, "b", 5);
-  EXPECT_EQ(meter.bytes(TrafficKind::kReport, TrafficReach::kRegion), 5U);
+  EXPECT_EQ(meter.bytes(TrafficKind::kReport, TrafficLocality::kRegion), 5U);
 }
 
 }  // namespace
--- a/tests/limits/limit_bound_test.cc
+++ b/tests/limits/limit_bound_test.cc
@@ -53,12 +53,12 @@
 
 private:
     int pick() { return static_cast<int>(random_.Below(static_cast<std::uint64_t>(fleet_.size()))); }
-    // The home of one of the tenants, most often: elsewhere little happens.
+    // The owner of one of the tenants, most often: elsewhere little happens.
     int pick_home()
     {
         static char const* const tenants[] = { "small", "large", "middle" };
-        auto const home = fleet_.home_of(tenants[random_.Below(3)]);
-        return home >= 0 && random_.Chance(0.8) ? home : pick();
+        auto const owner = fleet_.home_of(tenants[random_.Below(3)]);
+        return owner >= 0 && random_.Chance(0.8) ? owner : pick();
     }
     void fail()
     {
--- a/tests/limits/limit_failures_test.cc
+++ b/tests/limits/limit_failures_test.cc
@@ -111,8 +111,8 @@
 TEST_F(LimitFailuresTest, BothSidesOfAHomeThatIsCutOffStayInsideTogether)
 {
     ask_for(hot);
-    auto const home = home_;
-    fleet_.cut([=](int node) { return node == home ? 1 : 0; });
+    auto const owner = home_;
+    fleet_.cut([=](int node) { return node == owner ? 1 : 0; });
     fleet_.run_for(10s);
     EXPECT_LE(over(), 0);
     fleet_.heal();
@@ -216,8 +216,8 @@
 
 TEST_F(LimitFailuresTest, AFreshNodeWithoutAConfigurationAdmitsNothing)
 {
-    auto limiter = make_home_limiter({ "fresh", "0", "z" }, 1, false, test_tolerance, fleet_.now());
-    limiter->on_message(fleet_.now(), LimitAsk { { 1, 1 }, 2, 9'200, "1" });
+    auto limiter = make_distributed_limiter({ "fresh", "0", "z" }, 1, false, test_tolerance, fleet_.now());
+    limiter->on_message(fleet_.now(), ChargeRequest { { 1, 1 }, 2, 9'200, "1" });
     EXPECT_TRUE(limiter->take_output().messages.empty());
 }
 
--- a/tests/limits/limit_fleet.cc
+++ b/tests/limits/limit_fleet.cc
@@ -44,7 +44,7 @@
 {
     auto& node = nodes_[at(index)];
     auto const boot = static_cast<std::uint64_t>(now_.time_since_epoch().count());
-    node.limiter = make_home_limiter(node.id, boot, options_.nodes == 1, test_tolerance, now_);
+    node.limiter = make_distributed_limiter(node.id, boot, options_.nodes == 1, test_tolerance, now_);
     node.limiter->set_limits(now_, limits_);
     node.stopping = false;
     node.started = now_;
@@ -100,7 +100,7 @@
     auto& node = nodes_[at(index)];
     node.heard.resize(nodes_.size());
     auto const is_new = now_ - node.started < getting_known;
-    std::vector<LimitNode> known;
+    std::vector<LimiterNode> known;
     int reach = 1;
     for (int other = 0; other < size(); ++other) {
         auto const& sender = nodes_[at(other)];
@@ -115,7 +115,7 @@
             known.push_back(sender.id);
         reach += age <= in_touch_lately ? 1 : 0;
     }
-    node.limiter->set_reach(now_, { reach, in_touch_lately });
+    node.limiter->set_reachable_nodes(now_, { reach, in_touch_lately });
     node.limiter->set_nodes(now_, known);
 }
 
@@ -278,7 +278,7 @@
         if (!is_up(node))
             continue;
         for (auto const& status : nodes_[at(node)].limiter->status(now_)) {
-            if (status.tenant == tenant && status.is_home)
+            if (status.tenant == tenant && status.is_owner)
                 return node;
         }
     }
@@ -292,7 +292,7 @@
         if (!node.limiter)
             continue;
         for (auto const& status : node.limiter->status(now_))
-            level += status.tenant == tenant && status.is_home ? status.level : 0;
+            level += status.tenant == tenant && status.is_owner ? status.level : 0;
     }
     return level;
 }
--- a/tests/limits/limit_fleet.h
+++ b/tests/limits/limit_fleet.h
@@ -41,7 +41,7 @@
     double offered = 0; // Units.
     double admitted = 0;
     double refused = 0;
-    double undecided = 0; // Refused because no home was reached.
+    double undecided = 0; // Refused because no owner was reached.
     double refused_share() const { return offered <= 0 ? 0 : (refused + undecided) / offered; }
 };
 
@@ -80,7 +80,7 @@
 
 private:
     struct Node {
-        LimitNode id;
+        LimiterNode id;
         std::unique_ptr<Limiter> limiter; // nullptr: killed, or not started yet.
         bool stopping = false;
         Time started {};
--- a/tests/limits/limit_parts_test.cc
+++ b/tests/limits/limiter_components_test.cc
@@ -1,11 +1,11 @@
-// The parts of a limiter: bucket, order of homes, watch over them, and what a home decides.
+// The parts of a limiter: bucket, order of homes, watch over them, and what a owner decides.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include "src/base/hash.h"
-#include "src/limits/home_order.h"
-#include "src/limits/home_watch.h"
-#include "src/limits/limit_home.h"
+#include "src/limits/owned_buckets.h"
+#include "src/limits/owner_failure_detector.h"
+#include "src/limits/owner_ranking.h"
 #include "src/limits/token_bucket.h"
 
 namespace saltquay::limits {
@@ -85,25 +85,25 @@
     RC_ASSERT(given <= 300 + 100 * ToSeconds(now - start) + 1e-6);
 }
 
-std::vector<LimitNode> make_nodes(int count)
+std::vector<LimiterNode> make_nodes(int count)
 {
-    std::vector<LimitNode> nodes;
+    std::vector<LimiterNode> nodes;
     nodes.reserve(static_cast<std::size_t>(count));
     for (int node = 0; node < count; ++node)
         nodes.push_back({ "n" + std::to_string(node), "a" + std::to_string(node), "z" });
     return nodes;
 }
 
-std::string home_name(HomeOrder const& order, std::uint64_t tenant)
+std::string home_name(OwnerRanking const& order, std::uint64_t tenant)
 {
     return order.first(tenant, [](std::uint64_t) { return false; })->node.name;
 }
 
-TEST(HomeOrderTest, NodesThatKnowTheSameNodesAgree)
+TEST(OwnerRankingTest, NodesThatKnowTheSameNodesAgree)
 {
     auto const nodes = make_nodes(12);
-    HomeOrder first(nodes[0]);
-    HomeOrder last(nodes[11]);
+    OwnerRanking first(nodes[0]);
+    OwnerRanking last(nodes[11]);
     first.set_nodes(nodes);
     last.set_nodes({ nodes.rbegin(), nodes.rend() });
     std::set<std::string> homes;
@@ -114,45 +114,45 @@
     EXPECT_EQ(homes.size(), 12U);
 }
 
-TEST(HomeOrderTest, OnlyTheTenantsOfANodeThatLeavesHaveAnotherHome)
+TEST(OwnerRankingTest, OnlyTheTenantsOfANodeThatLeavesHaveAnotherHome)
 {
     auto nodes = make_nodes(12);
-    HomeOrder before(nodes[0]);
+    OwnerRanking before(nodes[0]);
     before.set_nodes(nodes);
     nodes.pop_back();
-    HomeOrder after(nodes[0]);
+    OwnerRanking after(nodes[0]);
     EXPECT_TRUE(after.set_nodes(nodes));
     EXPECT_FALSE(after.set_nodes(nodes));
     for (std::uint64_t tenant = 0; tenant < 200; ++tenant) {
-        auto const home = home_name(before, tenant);
-        EXPECT_TRUE(home == "n11" || home == home_name(after, tenant));
+        auto const owner = home_name(before, tenant);
+        EXPECT_TRUE(owner == "n11" || owner == home_name(after, tenant));
     }
 }
 
-TEST(HomeOrderTest, ANewAddressIsAChange)
+TEST(OwnerRankingTest, ANewAddressIsAChange)
 {
     auto nodes = make_nodes(3);
-    HomeOrder order(nodes[0]);
+    OwnerRanking order(nodes[0]);
     order.set_nodes(nodes);
     nodes[1].address = "elsewhere";
     EXPECT_TRUE(order.set_nodes(nodes));
 }
 
-TEST(HomeOrderTest, ASampleLeavesOutThisNodeAndTheOneInQuestion)
+TEST(OwnerRankingTest, ASampleLeavesOutThisNodeAndTheOneInQuestion)
 {
     auto const nodes = make_nodes(40);
-    HomeOrder order(nodes[0]);
+    OwnerRanking order(nodes[0]);
     order.set_nodes(nodes);
     auto const silent = HashPair(0, 0);
     EXPECT_EQ(order.sample(silent, 12).size(), 12U);
-    HomeOrder small(nodes[0]);
+    OwnerRanking small(nodes[0]);
     small.set_nodes(make_nodes(3));
-    auto const home = order.sample(silent, 40).front();
-    EXPECT_EQ(order.sample(home->hash, 40).size(), 38U);
+    auto const owner = order.sample(silent, 40).front();
+    EXPECT_EQ(order.sample(owner->hash, 40).size(), 38U);
     EXPECT_EQ(small.sample(silent, 12).size(), 2U);
 }
 
-class HomeWatchTest : public testing::Test {
+class OwnerFailureDetectorTest : public testing::Test {
 protected:
     // Steps on to that time, and says which nodes became absent.
     std::vector<std::uint64_t> absent_until(Duration span)
@@ -165,11 +165,11 @@
         return absent;
     }
 
-    LimitKnobs knobs_;
-    HomeWatch watch_ { knobs_ };
+    LimiterParameters parameters_;
+    OwnerFailureDetector watch_ { parameters_ };
 };
 
-TEST_F(HomeWatchTest, ASilentNodeIsAbsentAfterAWhile)
+TEST_F(OwnerFailureDetectorTest, ASilentNodeIsAbsentAfterAWhile)
 {
     watch_.suspect(start, 7);
     EXPECT_TRUE(watch_.is_suspect(7));
@@ -183,7 +183,7 @@
     EXPECT_FALSE(watch_.is_absent(start + 60s, 7));
 }
 
-TEST_F(HomeWatchTest, ANodeThatAnswersThroughAnotherIsNotAbsent)
+TEST_F(OwnerFailureDetectorTest, ANodeThatAnswersThroughAnotherIsNotAbsent)
 {
     watch_.suspect(start, 7);
     absent_until(100ms);
@@ -195,7 +195,7 @@
     EXPECT_TRUE(watch_.note_relayed(start + 300ms, 7, "other"));
 }
 
-TEST_F(HomeWatchTest, TheShareOfTheFleetIsThatWhichAnsweredTheSurvey)
+TEST_F(OwnerFailureDetectorTest, TheShareOfTheFleetIsThatWhichAnsweredTheSurvey)
 {
     watch_.suspect(start, 7);
     watch_.note_surveyed(7, 10);
@@ -206,72 +206,72 @@
     EXPECT_EQ(watch_.surveyed_share(), 0.25);
 }
 
-TEST_F(HomeWatchTest, ANodeThatDeclinedIsNoHomeForAWhile)
+TEST_F(OwnerFailureDetectorTest, ANodeThatDeclinedIsNoHomeForAWhile)
 {
     watch_.note_declined(start, 7);
-    EXPECT_TRUE(watch_.is_absent(start + knobs_.joining - 1us, 7));
-    EXPECT_EQ(watch_.next_deadline(), start + knobs_.joining);
-    EXPECT_TRUE(watch_.step(start + knobs_.joining, [](std::uint64_t) { return true; }).joined);
-    EXPECT_FALSE(watch_.is_absent(start + knobs_.joining, 7));
+    EXPECT_TRUE(watch_.is_absent(start + parameters_.joining - 1us, 7));
+    EXPECT_EQ(watch_.next_deadline(), start + parameters_.joining);
+    EXPECT_TRUE(watch_.step(start + parameters_.joining, [](std::uint64_t) { return true; }).joined);
+    EXPECT_FALSE(watch_.is_absent(start + parameters_.joining, 7));
 }
 
-TEST_F(HomeWatchTest, ANodeThatLeftTheFleetIsForgotten)
+TEST_F(OwnerFailureDetectorTest, ANodeThatLeftTheFleetIsForgotten)
 {
     watch_.suspect(start, 7);
     watch_.step(start, [](std::uint64_t) { return false; });
     EXPECT_FALSE(watch_.is_suspect(7));
 }
 
-class LimitHomeTest : public testing::Test {
+class OwnedBucketsTest : public testing::Test {
 protected:
-    LimitHomeTest() { home_.set_reach(start, { 10, 600ms }); }
+    OwnedBucketsTest() { home_.set_reachable_nodes(start, { 10, 600ms }); }
 
-    // A bucket at that level, of a home that has been one for long.
+    // A bucket at that level, of a owner that has been one for long.
     void hold(double level)
     {
-        BucketHandOver message;
+        BucketHandoff message;
         message.tenant = 1;
         message.key = { 9, ++last_ };
         message.level = level;
         home_.receive(start, message, limit);
     }
-    LimitAnswer ask(std::int64_t cost, Time now = start)
+    ChargeResponse ask(std::int64_t cost, Time now = start)
     {
-        LimitAsk ask;
+        ChargeRequest ask;
         ask.charge = { 1, ++last_ };
         ask.tenant = 1;
         ask.cost = cost;
         return home_.decide(now, ask);
     }
 
-    LimitKnobs knobs_;
-    LimitHome home_ { knobs_, tolerance };
+    LimiterParameters parameters_;
+    OwnedBuckets home_ { parameters_, tolerance };
     std::uint64_t last_ = 0;
 };
 
-TEST_F(LimitHomeTest, ANewHomeBeginsWithLittleAndFillsSlowlyUntilItHasSettled)
+TEST_F(OwnedBucketsTest, ANewHomeBeginsWithLittleAndFillsSlowlyUntilItHasSettled)
 {
     home_.open(start, 1, limit, std::nullopt);
-    auto const first = knobs_.first_level * depth;
+    auto const first = parameters_.first_level * depth;
     EXPECT_NEAR(home_.level(start, 1), first, 1e-9);
     EXPECT_NEAR(home_.level(start + 30ms, 1), first + 10, 1e-6);
-    auto const settled = start + knobs_.settling;
-    EXPECT_TRUE(ask(100, settled).admitted);
-    EXPECT_NEAR(home_.level(settled + 30ms, 1), 30, 1e-6);
+    auto const established = start + parameters_.settling;
+    EXPECT_TRUE(ask(100, established).admitted);
+    EXPECT_NEAR(home_.level(established + 30ms, 1), 30, 1e-6);
 }
 
-TEST_F(LimitHomeTest, ANewHomeOfASmallPartOfTheFleetBeginsWithThatPart)
+TEST_F(OwnedBucketsTest, ANewHomeOfASmallPartOfTheFleetBeginsWithThatPart)
 {
     home_.open(start, 1, limit, 0.1);
-    auto const first = knobs_.first_level * 0.1 * depth;
+    auto const first = parameters_.first_level * 0.1 * depth;
     EXPECT_NEAR(home_.level(start, 1), first, 1e-9);
     EXPECT_NEAR(home_.level(start + 10ms, 1), first + 1, 1e-6);
 }
 
-TEST_F(LimitHomeTest, AnAskThatIsRepeatedIsChargedOnce)
+TEST_F(OwnedBucketsTest, AnAskThatIsRepeatedIsChargedOnce)
 {
     hold(depth);
-    LimitAsk ask;
+    ChargeRequest ask;
     ask.charge = { 1, 1 };
     ask.tenant = 1;
     ask.cost = 40;
@@ -282,7 +282,7 @@
     EXPECT_TRUE(home_.find_answer(ask.charge)->admitted);
 }
 
-TEST_F(LimitHomeTest, ARefundIsCreditedOnce)
+TEST_F(OwnedBucketsTest, ARefundIsCreditedOnce)
 {
     hold(depth);
     auto const answer = ask(40);
@@ -293,7 +293,7 @@
     EXPECT_NEAR(home_.level(start, 1), 40, 1e-9);
 }
 
-TEST_F(LimitHomeTest, WhatWasRefusedIsNotRefunded)
+TEST_F(OwnedBucketsTest, WhatWasRefusedIsNotRefunded)
 {
     hold(10);
     auto const answer = ask(40);
@@ -303,68 +303,68 @@
     EXPECT_NEAR(home_.level(start, 1), 10, 1e-9);
 }
 
-TEST_F(LimitHomeTest, AHandOverIsTakenOnceAndReplacesTheFirstLevel)
+TEST_F(OwnedBucketsTest, AHandOverIsTakenOnceAndReplacesTheFirstLevel)
 {
     home_.open(start, 1, limit, std::nullopt);
-    BucketHandOver message;
+    BucketHandoff message;
     message.tenant = 1;
     message.key = { 5, 5 };
     message.level = 50;
     home_.receive(start, message, limit);
     home_.receive(start, message, limit);
     EXPECT_NEAR(home_.level(start, 1), 50, 1e-9);
-    EXPECT_TRUE(home_.give_up(start, 1).settled);
+    EXPECT_TRUE(home_.give_up(start, 1).established);
 }
 
-TEST_F(LimitHomeTest, ASideOfACutHasItsShareOfTheBucket)
+TEST_F(OwnedBucketsTest, ASideOfACutHasItsShareOfTheBucket)
 {
     hold(depth);
-    home_.set_reach(start, { 4, 600ms });
+    home_.set_reachable_nodes(start, { 4, 600ms });
     EXPECT_NEAR(home_.level(start, 1), 40, 1e-9);
     EXPECT_FALSE(ask(100).admitted); // From a full bucket only the larger side would.
     ask(40);
     EXPECT_NEAR(home_.level(start + 50ms, 1), 20, 1e-9);
-    home_.set_reach(start, { 10, 600ms });
+    home_.set_reachable_nodes(start, { 10, 600ms });
     EXPECT_NEAR(home_.level(start + 50ms, 1), 50, 1e-9);
 }
 
-// Guards against a limit that is passed by each cut anew: until a home saw that it was cut off, it filled at the whole
+// Guards against a limit that is passed by each cut anew: until a owner saw that it was cut off, it filled at the whole
 // rate, and the other side at its own part.
-TEST_F(LimitHomeTest, WhatWasFilledBeforeACutShowedIsTakenBack)
+TEST_F(OwnedBucketsTest, WhatWasFilledBeforeACutShowedIsTakenBack)
 {
     hold(0);
     auto const seen = start + 50ms;
-    home_.set_reach(seen, { 4, 600ms });
-    // Of a rate of 1,000 a second four of ten nodes have 400; the home before filled 600 too much as well.
+    home_.set_reachable_nodes(seen, { 4, 600ms });
+    // Of a rate of 1,000 a second four of ten nodes have 400; the owner before filled 600 too much as well.
     EXPECT_NEAR(home_.level(seen, 1), 50 - 600 * 0.6, 1e-9);
     EXPECT_FALSE(ask(1, seen).admitted);
 }
 
-TEST_F(LimitHomeTest, AFullBucketFilledNothingThatIsTakenBackForACut)
+TEST_F(OwnedBucketsTest, AFullBucketFilledNothingThatIsTakenBackForACut)
 {
     hold(depth);
     ask(100);
     auto const seen = start + 50ms;
-    home_.set_reach(seen, { 4, 600ms });
+    home_.set_reachable_nodes(seen, { 4, 600ms });
     EXPECT_NEAR(home_.level(seen, 1), 50 - 600 * 0.05, 1e-9); // It was full 50 ms ago.
 }
 
-TEST_F(LimitHomeTest, ARequestLargerThanTheBucketIsAdmittedByAFullOneOfTheLargerSide)
+TEST_F(OwnedBucketsTest, ARequestLargerThanTheBucketIsAdmittedByAFullOneOfTheLargerSide)
 {
     hold(depth);
-    home_.set_reach(start, { 9, 600ms });
+    home_.set_reachable_nodes(start, { 9, 600ms });
     EXPECT_TRUE(ask(1'000).admitted);
 }
 
-TEST_F(LimitHomeTest, AHomeThatStoodStillGoesOnLikeANewOne)
+TEST_F(OwnedBucketsTest, AHomeThatStoodStillGoesOnLikeANewOne)
 {
     hold(depth);
     home_.distrust(start + 5s);
-    EXPECT_NEAR(home_.level(start + 5s, 1), knobs_.first_level * depth, 1e-9);
-    EXPECT_FALSE(home_.give_up(start + 5s, 1).settled);
+    EXPECT_NEAR(home_.level(start + 5s, 1), parameters_.first_level * depth, 1e-9);
+    EXPECT_FALSE(home_.give_up(start + 5s, 1).established);
 }
 
-TEST_F(LimitHomeTest, ALowerLimitTakesWhatIsAboveItsBurst)
+TEST_F(OwnedBucketsTest, ALowerLimitTakesWhatIsAboveItsBurst)
 {
     hold(depth);
     home_.change_limit(start, 1, TenantLimit { 100, 10, LimitUnit::Tokens, 1 });
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -5,8 +5,8 @@
 #include <nlohmann/json.hpp>
 
 #include "absl/strings/str_join.h"
+#include "platform/json_sanitizer.h"
 #include "platform/object_store_client.h"
-#include "platform/readable_text.h"
 #include "platform/records.h"
 #include "tests/support/scripted_server.h"
 
@@ -98,7 +98,7 @@
 class SystemFieldTest : public ::testing::TestWithParam<const char*> {};
 
 TEST_P(SystemFieldTest, NeverPassesFromAClient) {
-  const gateway::EngineProtocol protocol(EngineNames());
+  const gateway::EngineProtocol protocol(PlatformEngineFields());
   http::RequestHead client;
   client.method = "POST";
   client.target = "/a/b";
@@ -125,10 +125,10 @@
                                            "X-Fencing-Token"));
 
 TEST(EngineNamesTest, TheKeyIsReadAndTheTenantTold) {
-  const gateway::EngineProtocol protocol(EngineNames());
+  const gateway::EngineProtocol protocol(PlatformEngineFields());
   http::RequestHead client;
   client.fields.Add("X-Credential", "k1");
-  EXPECT_EQ(protocol.ReadRequest(client).api_key, "k1");
+  EXPECT_EQ(protocol.DecodeRequest(client).api_key, "k1");
 }
 
 TEST(RecordsTest, AnEngineDecodes) {
@@ -218,23 +218,23 @@
 
 TEST(ReadableTextTest, OnlyWhatCannotBeReadIsReplaced) {
   const std::string pair = R"({"a":"\ud83d\ude00 \\ud800 \n é"})";
-  EXPECT_EQ(MakeReadable(pair), pair);
-  EXPECT_EQ(MakeReadable(R"("\ud800\ud83d\ude00\udc00")"), R"("\ufffd\ud83d\ude00\ufffd")");
-  EXPECT_EQ(MakeReadable("\"a\xff\""), "\"a\xEF\xBF\xBD\"");
+  EXPECT_EQ(SanitizeJson(pair), pair);
+  EXPECT_EQ(SanitizeJson(R"("\ud800\ud83d\ude00\udc00")"), R"("\ufffd\ud83d\ude00\ufffd")");
+  EXPECT_EQ(SanitizeJson("\"a\xff\""), "\"a\xEF\xBF\xBD\"");
   for (const std::string cut : {"\\", "\\u", "\\ud8", "\\ud800", "\\ud800\\"}) {
-    EXPECT_LE(MakeReadable(cut).size(), cut.size() + 2) << cut;
+    EXPECT_LE(SanitizeJson(cut).size(), cut.size() + 2) << cut;
   }
 }
 
 RC_GTEST_PROP(ReadableTextProperty, ItsTextIsReadOnceAndStaysAsItIs, (const std::string& text)) {
-  const std::string readable = MakeReadable(text);
-  RC_ASSERT(MakeReadable(readable) == readable);
+  const std::string readable = SanitizeJson(text);
+  RC_ASSERT(SanitizeJson(readable) == readable);
 }
 
 // Whatever a string holds, the JSON around it can be read.
 RC_GTEST_PROP(ReadableTextProperty, AnyBytesInAStringLeaveTheJsonReadable, (std::string bytes)) {
   std::erase_if(bytes, [](char byte) { return byte == '"' || byte == '\\' || (byte >= 0 && byte < ' '); });
-  RC_ASSERT(nlohmann::json::accept(MakeReadable("{\"a\":\"" + bytes + "\"}")));
+  RC_ASSERT(nlohmann::json::accept(SanitizeJson("{\"a\":\"" + bytes + "\"}")));
 }
 
 class StoreTest : public ::testing::Test {
--- a/tests/replica/freshness_test.cc
+++ b/tests/replica/freshness_test.cc
@@ -23,16 +23,16 @@
     std::unique_ptr<ReplicaFleet> make_small()
     {
         return std::make_unique<ReplicaFleet>(
-            loop_, std::vector<std::string> { "a", "a", "a", "b", "b" }, UpstreamKnobs {});
+            loop_, std::vector<std::string> { "a", "a", "a", "b", "b" }, UpstreamParameters {});
     }
     // Two nodes read the store, one of each zone follows them, the others follow these.
     std::unique_ptr<ReplicaFleet> make_relayed()
     {
-        UpstreamKnobs knobs;
-        knobs.small_fleet = 3;
-        knobs.readers_per_zone = 1;
+        UpstreamParameters parameters;
+        parameters.small_fleet_limit = 3;
+        parameters.readers_per_zone = 1;
         return std::make_unique<ReplicaFleet>(
-            loop_, std::vector<std::string> { "a", "b", "a", "b", "a", "b", "a" }, knobs);
+            loop_, std::vector<std::string> { "a", "b", "a", "b", "a", "b", "a" }, parameters);
     }
     // Changes go on all the time; `on_step` is told the time since the start.
     void play(Fleets const& fleets, Duration length, std::function<void(Duration)> const& on_step)
@@ -89,7 +89,7 @@
 TEST_F(FreshnessTest, NodesWhoseKeptConnectionsFallSilentAreFreshWithinTheLimit)
 {
     auto fleet = make_small();
-    Once fault { 4s, [&] { fleet->silence_connections(); } };
+    Once fault { 4s, [&] { fleet->blackhole_connections(); } };
     play({ fleet.get() }, 10s, fault);
     EXPECT_LE(fleet->worst_delay(), measuring_slack) << fleet->worst_node();
 }
@@ -128,7 +128,7 @@
         }
         while (!silences_.empty() && *silences_.begin() <= now) {
             silences_.erase(silences_.begin());
-            fleet_.silence_connections();
+            fleet_.blackhole_connections();
         }
     }
 
--- a/tests/replica/slow_list_test.cc
+++ b/tests/replica/peer_list_test.cc
@@ -84,7 +84,7 @@
 
 std::string make_answer()
 {
-    PassedList passed;
+    RelayedList passed;
     passed.list.items = { { "e1", 7, "content" }, { "e2", 8, "content" } };
     passed.list.at = 9;
     auto const body = encode(passed);
@@ -148,14 +148,14 @@
         while (upstream.source == Upstream::Source::Peer) {
             starting.push_back(upstream.peer.node);
             ++asked[starting.back()];
-            selector.note_starting(starting.back(), now);
+            selector.record_starting(starting.back(), now);
             upstream = selector.choose(peers, now);
         }
         if (upstream.source != Upstream::Source::Nobody)
             continue;
         // When its relays do not come to know anything, a reader is asked all the same.
         for (auto const& relay : starting)
-            selector.note_starting(relay, now + 2s);
+            selector.record_starting(relay, now + 2s);
         auto const reader = selector.choose(peers, now + 2100ms);
         EXPECT_EQ(reader.source, Upstream::Source::Peer) << node.node;
         EXPECT_FALSE(std::count(starting.begin(), starting.end(), reader.peer.node)) << node.node;
@@ -167,15 +167,15 @@
 TEST(SlowListTest, ANodeThatHasJustStartedIsAskedAgainSoon)
 {
     std::vector<serving::PeerNode> const peers { { "relay", "10.0.0.1:1", "a", 1000, false } };
-    UpstreamKnobs knobs;
-    knobs.readers_per_zone = 1;
-    UpstreamSelector selector({ "follower", "", "a", 10, false }, knobs);
+    UpstreamParameters parameters;
+    parameters.readers_per_zone = 1;
+    UpstreamSelector selector({ "follower", "", "a", 10, false }, parameters);
     Time const now { 10s };
     ASSERT_EQ(selector.choose(peers, now).source, Upstream::Source::Peer);
-    selector.note_starting("relay", now);
+    selector.record_starting("relay", now);
     EXPECT_NE(selector.choose(peers, now + 100ms).source, Upstream::Source::Peer);
     EXPECT_EQ(selector.choose(peers, now + 250ms).source, Upstream::Source::Peer);
-    selector.note_unheard("relay", now);
+    selector.note_disconnected("relay", now);
     EXPECT_NE(selector.choose(peers, now + 1s).source, Upstream::Source::Peer);
 }
 
--- a/tests/replica/record_replica_test.cc
+++ b/tests/replica/record_replica_test.cc
@@ -37,7 +37,7 @@
 {
     RecordReplica replica;
     replica.replace({ {}, 1 });
-    std::string const large(RecordReplica::history_bytes / 4, 'x');
+    std::string const large(RecordReplica::max_history_bytes / 4, 'x');
     for (std::int64_t revision = 2; revision < 12; ++revision)
         replica.apply({ { { false, { "a", revision, large } } }, revision });
     EXPECT_FALSE(replica.changes_since(1));
@@ -74,7 +74,7 @@
 
 TEST(RecordCodecTest, RecordsComeBackAsTheyWere)
 {
-    auto const list = decode_list(encode(PassedList { { { { "a", 3, "{\"x\":1}" }, { "b", 9, "" } }, 12 },
+    auto const list = decode_list(encode(RelayedList { { { { "a", 3, "{\"x\":1}" }, { "b", 9, "" } }, 12 },
         Provenance { 1, std::chrono::milliseconds(250), std::chrono::milliseconds(30) } }));
     ASSERT_TRUE(list.ok());
     EXPECT_EQ(list->from.hops, 1);
@@ -84,7 +84,7 @@
     ASSERT_EQ(list->list.items.size(), 2U);
     EXPECT_EQ(list->list.items[0].content, "{\"x\":1}");
     EXPECT_EQ(list->list.items[1].revision, 9);
-    auto const changes = decode_events(encode(PassedEvents {
+    auto const changes = decode_events(encode(RelayedEvents {
         { { event("a", 4, true), event("c", 5) }, 6 }, Provenance { 2, std::nullopt, std::chrono::milliseconds(0) } }));
     ASSERT_TRUE(changes.ok());
     EXPECT_EQ(changes->from.hops, 2);
@@ -96,7 +96,7 @@
 RC_GTEST_PROP(RecordCodecProperty, AnyBytesAreDecodedOrRefused, (std::string const& bytes))
 {
     static_cast<void>(decode_list(bytes));
-    auto whole = encode(PassedEvents { { { event("a", 4) }, 6 }, Provenance {} });
+    auto whole = encode(RelayedEvents { { { event("a", 4) }, 6 }, Provenance {} });
     auto& changed = whole[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(whole.size())))];
     changed = static_cast<char>(changed ^ *rc::gen::inRange(1, 255));
     static_cast<void>(decode_events(whole));
--- a/tests/replica/relayed_store_test.cc
+++ b/tests/replica/relayed_store_test.cc
@@ -94,9 +94,9 @@
         , relay(std::make_unique<RelayServer>(loop, store))
         , table(name)
     {
-        store.on_change = [this](std::string const& kind) {
+        store.on_record_update = [this](std::string const& kind) {
             if (relay != nullptr)
-                relay->on_change(kind);
+                relay->on_record_update(kind);
         };
         gateway::WatcherHandlers handlers;
         handlers.on_list = [this](ObjectList const& list) {
@@ -106,9 +106,9 @@
         };
         handlers.on_event = [this](
                                 gateway::ObjectEvent const& event) { seen[event.object.name] = event.object.content; };
-        handlers.on_contact = [this](bool in_contact, std::string const&) { contact = in_contact; };
+        handlers.on_connectivity_changed = [this](bool in_contact, std::string const&) { contact = in_contact; };
         watcher = std::make_unique<gateway::CollectionWatcher>(
-            loop, store, "engines", gateway::WatcherTimes {}, 1, std::move(handlers));
+            loop, store, "engines", gateway::WatcherTimings {}, 1, std::move(handlers));
     }
     static RelayedStoreOptions make_options(std::string const& name, int link_mbps, std::vector<std::string> seeds)
     {
@@ -384,7 +384,7 @@
     ASSERT_TRUE(follower_sees("e1", 1s));
     // From the reader, which is one node away from the store, but not from the follower behind it.
     auto options = Node::make_options("near", 10, {});
-    options.most_hops = 0;
+    options.max_hops = 0;
     TableStore origin(loop_);
     RelayedStore near(loop_, origin, options);
     near.update_peers(last_->table.Heard(), last_->table.LastChanges());
--- a/tests/replica/replica_fleet.cc
+++ b/tests/replica/replica_fleet.cc
@@ -21,11 +21,11 @@
 }
 
 RelayedStoreOptions make_options(
-    std::string const& name, std::string const& zone, int link_mbps, UpstreamKnobs const& knobs)
+    std::string const& name, std::string const& zone, int link_mbps, UpstreamParameters const& parameters)
 {
     RelayedStoreOptions options;
     options.self = { name, "", zone, link_mbps, false };
-    options.upstream = knobs;
+    options.upstream = parameters;
     return options;
 }
 
@@ -41,7 +41,7 @@
     return known;
 }
 
-void NodeStore::silence_connections()
+void NodeStore::blackhole_connections()
 {
     ++epoch_;
     resting_is_dead_ = under_way_ == 0;
@@ -114,7 +114,7 @@
     });
 }
 
-struct SilentLink::Pair : std::enable_shared_from_this<SilentLink::Pair> {
+struct BlackholeProxy::Pair : std::enable_shared_from_this<BlackholeProxy::Pair> {
     explicit Pair(boost::asio::io_context& loop)
         : near(loop)
         , far(loop)
@@ -152,7 +152,7 @@
     bool silent = false;
 };
 
-SilentLink::SilentLink(boost::asio::io_context& loop, std::string const& target)
+BlackholeProxy::BlackholeProxy(boost::asio::io_context& loop, std::string const& target)
     : loop_(loop)
     , target_(*http::ParseEndpoint(target))
     , acceptor_(loop, { boost::asio::ip::address_v4::loopback(), 0 })
@@ -160,11 +160,11 @@
     accept();
 }
 
-SilentLink::~SilentLink() = default;
+BlackholeProxy::~BlackholeProxy() = default;
 
-std::string SilentLink::address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
+std::string BlackholeProxy::address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
-void SilentLink::silence_connections()
+void BlackholeProxy::blackhole_connections()
 {
     for (auto const& weak : pairs_) {
         if (auto const pair = weak.lock())
@@ -173,7 +173,7 @@
     pairs_.clear();
 }
 
-void SilentLink::accept()
+void BlackholeProxy::accept()
 {
     auto const pair = std::make_shared<Pair>(loop_);
     acceptor_.async_accept(pair->near, [this, pair](boost::system::error_code error) {
@@ -191,29 +191,29 @@
 }
 
 ReplicaNode::ReplicaNode(boost::asio::io_context& loop, StoreTable const& store_table, std::string const& node_name,
-    std::string const& node_zone, int mbps, UpstreamKnobs const& knobs)
+    std::string const& node_zone, int mbps, UpstreamParameters const& parameters)
     : name(node_name)
     , zone(node_zone)
     , link_mbps(mbps)
     , origin(loop, store_table)
-    , store(loop, origin, make_options(node_name, node_zone, mbps, knobs))
+    , store(loop, origin, make_options(node_name, node_zone, mbps, parameters))
     , relay(std::make_unique<RelayServer>(loop, store))
     , table(node_name)
 {
     auto const address = free_address(loop);
     if (!relay->listen(address).ok())
         std::abort();
-    link = std::make_unique<SilentLink>(loop, address);
-    store.on_change = [this](std::string const& kind) { relay->on_change(kind); };
+    link = std::make_unique<BlackholeProxy>(loop, address);
+    store.on_record_update = [this](std::string const& kind) { relay->on_record_update(kind); };
     gateway::WatcherHandlers handlers;
     handlers.on_list = [this](gateway::ObjectList const& list) {
         for (auto const& object : list.items)
             seen = std::max(seen, object.revision);
     };
     handlers.on_event = [this](gateway::ObjectEvent const& event) { seen = std::max(seen, event.object.revision); };
-    handlers.on_contact = [](bool, std::string const&) {};
+    handlers.on_connectivity_changed = [](bool, std::string const&) {};
     watcher = std::make_unique<gateway::CollectionWatcher>(
-        loop, store, "config", gateway::WatcherTimes {}, 1, std::move(handlers));
+        loop, store, "config", gateway::WatcherTimings {}, 1, std::move(handlers));
 }
 
 serving::PeerReport ReplicaNode::report()
@@ -229,14 +229,15 @@
 }
 
 ReplicaFleet::ReplicaFleet(
-    boost::asio::io_context& loop, std::vector<std::string> const& zones, UpstreamKnobs const& knobs)
+    boost::asio::io_context& loop, std::vector<std::string> const& zones, UpstreamParameters const& parameters)
     : loop_(loop)
 {
     table_.put(BootNow());
     constexpr int widest_link = 1000;
     for (std::size_t i = 0; i < zones.size(); ++i) {
         auto const width = widest_link - static_cast<int>(i);
-        nodes_.push_back(std::make_unique<ReplicaNode>(loop_, table_, "n" + std::to_string(i), zones[i], width, knobs));
+        nodes_.push_back(
+            std::make_unique<ReplicaNode>(loop_, table_, "n" + std::to_string(i), zones[i], width, parameters));
     }
 }
 
@@ -255,11 +256,11 @@
     nodes_[node]->out_of_touch_until = BootNow() + contact;
 }
 
-void ReplicaFleet::silence_connections()
+void ReplicaFleet::blackhole_connections()
 {
     for (auto const& node : nodes_) {
-        node->origin.silence_connections();
-        node->link->silence_connections();
+        node->origin.blackhole_connections();
+        node->link->blackhole_connections();
         node->out_of_touch_until = BootNow() + contact;
     }
 }
--- a/tests/replica/replica_fleet.h
+++ b/tests/replica/replica_fleet.h
@@ -45,7 +45,7 @@
     void set_fault(Fault fault) { fault_ = fault; }
     Fault fault() const { return fault_; }
     // Connections are dead from now on: what is under way on them is never answered, nor is the next call if one rests.
-    void silence_connections();
+    void blackhole_connections();
 
     void List(std::string const&, std::function<void(absl::StatusOr<gateway::ObjectList>)> done) override;
     void Watch(std::string const&, std::int64_t revision, std::chrono::milliseconds wait,
@@ -84,12 +84,12 @@
 };
 
 // Passes connections on to an address; those that are up can be silenced.
-class SilentLink {
+class BlackholeProxy {
 public:
-    SilentLink(boost::asio::io_context&, std::string const& target);
-    ~SilentLink();
+    BlackholeProxy(boost::asio::io_context&, std::string const& target);
+    ~BlackholeProxy();
     std::string address() const;
-    void silence_connections();
+    void blackhole_connections();
 
 private:
     struct Pair;
@@ -104,7 +104,7 @@
 // One node: its store, its relay, and what it has seen.
 struct ReplicaNode {
     ReplicaNode(boost::asio::io_context&, StoreTable const&, std::string const& name, std::string const& zone,
-        int link_mbps, UpstreamKnobs const&);
+        int link_mbps, UpstreamParameters const&);
     serving::PeerReport report();
 
     std::string name;
@@ -113,7 +113,7 @@
     NodeStore origin;
     RelayedStore store;
     std::unique_ptr<RelayServer> relay;
-    std::unique_ptr<SilentLink> link;
+    std::unique_ptr<BlackholeProxy> link;
     serving::PeerTable table;
     std::unique_ptr<gateway::CollectionWatcher> watcher;
     std::int64_t seen = 0;
@@ -124,7 +124,7 @@
 class ReplicaFleet {
 public:
     // `zones`: the zone of each node; earlier nodes have wider links.
-    ReplicaFleet(boost::asio::io_context&, std::vector<std::string> const& zones, UpstreamKnobs const&);
+    ReplicaFleet(boost::asio::io_context&, std::vector<std::string> const& zones, UpstreamParameters const&);
 
     ReplicaNode& node(std::size_t i) { return *nodes_[i]; }
     std::size_t size() const { return nodes_.size(); }
@@ -133,7 +133,7 @@
     void start();
     // Faults: one node's way to the store, all kept connections to the store and between nodes.
     void set_fault(std::size_t node, NodeStore::Fault);
-    void silence_connections();
+    void blackhole_connections();
     // Every 50 ms of the test's time: reports between the nodes, marks of being in touch, and the check of the rule.
     void step();
     // How much later than allowed some node in touch had a change, at worst.
--- a/tests/replica/upstream_selector_test.cc
+++ b/tests/replica/upstream_selector_test.cc
@@ -142,7 +142,7 @@
     std::vector<UpstreamSelector> selectors;
     std::vector<std::vector<PeerNode>> peers;
     for (auto const& node : fleet) {
-        selectors.emplace_back(node, UpstreamKnobs {});
+        selectors.emplace_back(node, UpstreamParameters {});
         peers.push_back(without(fleet, node.node));
     }
     auto const count_calls = [&](Time now) {
@@ -150,7 +150,7 @@
         for (std::size_t i = 0; i < selectors.size(); ++i) {
             auto upstream = selectors[i].choose(peers[i], now);
             while (upstream.source == Upstream::Source::Peer) {
-                selectors[i].note_unheard(upstream.peer.node, now);
+                selectors[i].note_disconnected(upstream.peer.node, now);
                 upstream = selectors[i].choose(peers[i], now);
             }
             calls += upstream.source == Upstream::Source::Store ? 1 : 0;
@@ -177,21 +177,21 @@
     Time now { 10s };
     for (auto const& seed : seeds) {
         EXPECT_EQ(node.choose({}, now).peer.address, seed);
-        node.note_unheard(seed, now);
+        node.note_disconnected(seed, now);
     }
     EXPECT_EQ(node.choose({}, now).source, Upstream::Source::Nobody);
     now += 70ms;
     EXPECT_EQ(node.choose({}, now).peer.address, seeds[0]); // It may know more by now.
-    node.note_unheard(seeds[0], now);
-    node.note_unheard(seeds[1], now);
+    node.note_disconnected(seeds[0], now);
+    node.note_disconnected(seeds[1], now);
     EXPECT_EQ(node.choose({}, now).source, Upstream::Source::Nobody);
     now += 400ms;
-    node.note_unheard(seeds[0], now);
-    node.note_unheard(seeds[1], now);
+    node.note_disconnected(seeds[0], now);
+    node.note_disconnected(seeds[1], now);
     EXPECT_EQ(node.choose({}, now).source, Upstream::Source::Store);
     // A seed itself waits for nobody, and seeds that do not answer are not waited for.
     UpstreamSelector seed({ "s", seeds[0], "a", 1, false }, {}, seeds);
-    seed.note_unheard(seeds[1], now);
+    seed.note_disconnected(seeds[1], now);
     EXPECT_EQ(seed.choose({}, now).source, Upstream::Source::Store);
     UpstreamSelector alone({ "n", "3.3.3.3:1", "a", 1, false }, {}, seeds);
     for (auto const& address : seeds)
@@ -207,20 +207,20 @@
     std::vector<UpstreamSelector> selectors;
     selectors.reserve(fleet.size());
     for (auto const& node : fleet)
-        selectors.emplace_back(node, UpstreamKnobs {});
+        selectors.emplace_back(node, UpstreamParameters {});
     auto const try_all = [&](Time now) {
         int calls = 0;
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             auto const peers = without(fleet, fleet[i].node);
             auto upstream = selectors[i].choose(peers, now);
             while (upstream.source == Upstream::Source::Peer) {
-                selectors[i].note_starting(upstream.peer.node, now);
+                selectors[i].record_starting(upstream.peer.node, now);
                 upstream = selectors[i].choose(peers, now);
             }
             if (upstream.source != Upstream::Source::Store)
                 continue;
             ++calls;
-            selectors[i].note_store_failed(now);
+            selectors[i].record_store_failure(now);
         }
         return calls;
     };
@@ -234,8 +234,8 @@
     UpstreamSelector node({ "self", "", "a", 1, false }, {});
     Time const now { 10s };
     for (auto const& peer : peers)
-        node.note_unheard(peer.node, now);
-    node.note_store_failed(now);
+        node.note_disconnected(peer.node, now);
+    node.record_store_failure(now);
     EXPECT_NE(node.choose(peers, now + 500ms).source, Upstream::Source::Peer);
     EXPECT_EQ(node.choose(peers, now + 700ms).source, Upstream::Source::Peer);
 }
@@ -249,10 +249,10 @@
     Time const now { 10s };
     auto upstream = node.choose(peers, now);
     while (upstream.source == Upstream::Source::Peer) {
-        node.note_unheard(upstream.peer.node, now);
+        node.note_disconnected(upstream.peer.node, now);
         upstream = node.choose(peers, now);
     }
-    node.note_store_answered(now);
+    node.record_store_success(now);
     for (Time at = now; at < now + 2900ms; at += 10ms)
         EXPECT_EQ(node.choose(peers, at).source, Upstream::Source::Store);
 }
@@ -340,7 +340,7 @@
         auto const first = selector.choose(peers, Time { 1s });
         if (first.source != Upstream::Source::Peer || first.peer.node != reader)
             continue;
-        selector.note_unheard(reader, Time { 1s });
+        selector.note_disconnected(reader, Time { 1s });
         auto const second = selector.choose(peers, Time { 1s });
         ASSERT_EQ(second.source, Upstream::Source::Peer) << node.node;
         EXPECT_NE(second.peer.node, reader);
--- a/tests/simulation/protections_test.cc
+++ b/tests/simulation/protections_test.cc
@@ -33,7 +33,7 @@
 
 TEST_P(ProtectionTest, CheckerReportsWithoutTheGuard) {
   SimulationOptions options = ArrangedOptions(GetParam());
-  GetParam().switch_off(options.knobs.protections);
+  GetParam().switch_off(options.parameters.protections);
   const RunResult run = RunSimulation(options, GetParam().seed);
   EXPECT_GT(run.violations_by_point[static_cast<std::size_t>(GetParam().invariant)], 0U);
 }
--- a/tests/support/core_fixture.h
+++ b/tests/support/core_fixture.h
@@ -15,8 +15,8 @@
 // A context with a settable clock that keeps what components emit.
 class TestContext {
  public:
-  explicit TestContext(std::uint32_t node = 1, const Knobs& knobs = Knobs{}, std::uint64_t seed = 7)
-      : context_(NodeIdentity{Incarnation(node), ZoneId{node}}, knobs, seed) {
+  explicit TestContext(std::uint32_t node = 1, const Parameters& parameters = Parameters{}, std::uint64_t seed = 7)
+      : context_(NodeIdentity{Incarnation(node), ZoneId{node}}, parameters, seed) {
     Advance(Duration{1'000'000});
   }
 
