--- a/tests/support/fake_exchanges.h
+++ b/tests/support/fake_exchange_fleet.h
@@ -13,17 +13,18 @@
 namespace saltquay::serving {
 
 // Nodes in zones that exchange messages in virtual time; messages may be lost.
-class Exchanges {
+class FakeExchangeFleet {
  public:
   using Regions = std::map<std::string, std::string, std::less<>>;
-  Exchanges(int zones, int nodes_per_zone, std::uint64_t seed, const Regions& regions = {}) : random_(seed) {
+  FakeExchangeFleet(int zones, int nodes_per_zone, std::uint64_t seed, const Regions& regions = {}) : random_(seed) {
     for (int zone = 0; zone < zones; ++zone) {
       for (int i = 0; i < nodes_per_zone; ++i) {
         const std::string name = std::string(1, static_cast<char>('a' + zone)) + std::to_string(i);
         nodes_.push_back({name, name, name.substr(0, 1), i < 2 ? 200 : 20, false});
-        topologies_.push_back(std::make_unique<Topology>(nodes_.back().zone, regions, TopologyKnobs{}));
-        exchanges_.push_back(std::make_unique<FleetExchange>(FleetExchangeKnobs{}, nodes_.back(), *topologies_.back()));
-        ledgers_.push_back(std::make_unique<CrashLedger>(CrashLedgerKnobs{}));
+        topologies_.push_back(std::make_unique<Topology>(nodes_.back().zone, regions, TopologyParameters{}));
+        exchanges_.push_back(
+            std::make_unique<FleetExchange>(FleetExchangeParameters{}, nodes_.back(), *topologies_.back()));
+        ledgers_.push_back(std::make_unique<CrashLedger>(CrashLedgerParameters{}));
         work_.push_back(0);
         up_.push_back(true);
       }
@@ -38,7 +39,7 @@
   FleetExchange& at(std::size_t node) { return *exchanges_[node]; }
   CrashLedger& ledger(std::size_t node) { return *ledgers_[node]; }
   // Nodes that are up and do not know as many engines to have ended under the request.
-  int Ignorant(std::uint64_t request, int ends) {
+  int CountUninformed(std::uint64_t request, int ends) {
     int count = 0;
     for (std::size_t node = 0; node < size(); ++node) {
       if (up_[node] && ledger(node).Ends(request) < ends) ++count;
@@ -54,9 +55,9 @@
   Time now() const { return now_; }
   int sent(std::size_t node) const { return sent_[node]; }
   // The part of them that went to other zones.
-  int sent_far(std::size_t node) const { return sent_far_[node]; }
+  int sent_to_other_zones(std::size_t node) const { return sent_far_[node]; }
   // The part of them that went to other regions.
-  int sent_across(std::size_t node) const { return sent_across_[node]; }
+  int sent_to_other_regions(std::size_t node) const { return sent_across_[node]; }
 
   void Run(Duration time) {
     for (const Time end = now_ + time; now_ < end; now_ += 20ms) {
@@ -85,7 +86,7 @@
     report.sequence = ++sequences_[node];
     if (work_[node] > 0) report.work = {{"e", work_[node], 100 * work_[node]}};
     report.demand = {{"s", 0.5, 0.25, 2, 1}};
-    report.crashes = ledger(node).MarksToTell(now_);
+    report.crashes = ledger(node).MarksToReport(now_);
     return report;
   }
 
--- a/tests/support/serving_fixture.h
+++ b/tests/support/serving_fixture.h
@@ -55,7 +55,7 @@
         {MakeEngine("u1", "plain", EngineStage::kUniform), MakeEngine("u2", "plain", EngineStage::kUniform),
          MakeEngine("p1", "model", EngineStage::kPrefill), MakeEngine("p2", "model", EngineStage::kPrefill),
          MakeEngine("d1", "model", EngineStage::kDecode), MakeEngine("d2", "model", EngineStage::kDecode)}});
-    Send(StoreContactChanged{true});
+    Send(StoreConnectivityChanged{true});
     Send(PeersChanged{});
   }
 
@@ -68,13 +68,13 @@
     std::vector<Action> all;
     while (core_.next_deadline() && *core_.next_deadline() <= end) {
       now_ = std::max(now_, *core_.next_deadline());
-      Send(TimePassed{});
+      Send(TimerFired{});
       all.insert(all.end(), actions_.begin(), actions_.end());
     }
     now_ = end;
     actions_ = std::move(all);
   }
-  FlowId Arrive(const std::string& route, std::optional<PromptFacts> prompt = std::nullopt) {
+  FlowId Arrive(const std::string& route, std::optional<PromptMetadata> prompt = std::nullopt) {
     RequestArrived arrived;
     arrived.flow = ++last_flow_;
     arrived.facts.request_id = "r" + std::to_string(last_flow_);
@@ -84,8 +84,8 @@
     Send(arrived);
     return last_flow_;
   }
-  static PromptFacts LongPrompt(const std::string& shared = "s1") {
-    PromptFacts prompt;
+  static PromptMetadata LongPrompt(const std::string& shared = "s1") {
+    PromptMetadata prompt;
     prompt.model = "m";
     prompt.tokens = 17000;
     prompt.output_tokens = 100;
@@ -110,7 +110,8 @@
   }
 
   void Head(const StartAttempt& start, int status, bool not_executed = false) {
-    Send(AttemptHead{start.flow, start.attempt, AnswerFacts{status, not_executed, !not_executed, std::nullopt}});
+    Send(AttemptHeadReceived{start.flow, start.attempt,
+                             EngineResponseHead{status, not_executed, !not_executed, std::nullopt}});
   }
   // The whole answer of an attempt.
   void Answer(const StartAttempt& start, int status, bool not_executed = false, const std::string& handle = "") {
@@ -124,15 +125,15 @@
   }
 
   Time now_{1s};
-  ServingCore core_{MakeKnobs(), "a", 7};
+  ServingCore core_{MakeParameters(), "a", 7};
   std::vector<Action> actions_;
   FlowId last_flow_ = 0;
 
  private:
-  static ServingKnobs MakeKnobs() {
-    ServingKnobs knobs;
-    knobs.retry_budget = RetryBudgetBounds{0.2, 10s, 50, 0.8};
-    return knobs;
+  static ServingParameters MakeParameters() {
+    ServingParameters parameters;
+    parameters.retry_budget = RetryBudgetBounds{0.2, 10s, 50, 0.8};
+    return parameters;
   }
 };
 
--- a/tests/support/serving_fleet.cc
+++ b/tests/support/serving_fleet.cc
@@ -18,9 +18,10 @@
 
 }  // namespace
 
-ServingFleet::ServingFleet(int nodes, const ServingConfig& config, const ServingKnobs& knobs, std::uint64_t seed)
-    : config_(config), knobs_(knobs), random_(seed) {
-  for (int i = 0; i < nodes; ++i) nodes_.push_back(std::make_unique<ServingCore>(knobs, "a", seed + i));
+ServingFleet::ServingFleet(int nodes, const ServingConfig& config, const ServingParameters& parameters,
+                           std::uint64_t seed)
+    : config_(config), parameters_(parameters), random_(seed) {
+  for (int i = 0; i < nodes; ++i) nodes_.push_back(std::make_unique<ServingCore>(parameters, "a", seed + i));
 }
 
 void ServingFleet::Begin() {
@@ -29,13 +30,13 @@
   for (int node = 0; node < static_cast<int>(nodes_.size()); ++node) {
     Send(node, ConfigurationChanged{config_});
     Send(node, EnginesReplaced{records});
-    Send(node, StoreContactChanged{true});
+    Send(node, StoreConnectivityChanged{true});
   }
   Report();
 }
 
 void ServingFleet::Restart(int node) {
-  nodes_[node] = std::make_unique<ServingCore>(knobs_, "a", random_.Below(1000));
+  nodes_[node] = std::make_unique<ServingCore>(parameters_, "a", random_.Below(1000));
   nodes_[node]->BeginAfterRestart(now_);
   const auto is_of_node = [node](const auto& key) { return key.first == node; };
   std::erase_if(cancelled_, is_of_node);
@@ -49,15 +50,15 @@
   }
   Send(node, ConfigurationChanged{config_});
   Send(node, EnginesReplaced{records});
-  Send(node, StoreContactChanged{true});
+  Send(node, StoreConnectivityChanged{true});
 }
 
 void ServingFleet::Offer(const std::string& route, double per_second, Time end,
-                         const std::function<PromptFacts(int)>& prompt) {
+                         const std::function<PromptMetadata(int)>& prompt) {
   const Duration gap = FromSeconds(1 / per_second);
   int count = 0;
   for (Time at = now_; at < end; at += gap, ++count) {
-    const PromptFacts facts = prompt(count);
+    const PromptMetadata facts = prompt(count);
     At(at, [this, route, facts] {
       const int node = static_cast<int>(random_.Below(nodes_.size()));
       RequestArrived arrived;
@@ -74,7 +75,7 @@
   }
 }
 
-void ServingFleet::OfferFatal(const std::string& route, const PromptFacts& prompt, Duration gap, Time end) {
+void ServingFleet::SendPoisonRequests(const std::string& route, const PromptMetadata& prompt, Duration gap, Time end) {
   for (Time at = now_; at < end; at += gap) {
     At(at, [this, route, prompt] {
       const int node = static_cast<int>(random_.Below(nodes_.size()));
@@ -113,7 +114,7 @@
   if (!deadline) return;
   At(std::max(now_ + 1us, *deadline), [this, node] {
     const std::optional<Time> due = nodes_[node]->next_deadline();
-    if (due && *due <= now_) Send(node, TimePassed{});
+    if (due && *due <= now_) Send(node, TimerFired{});
   });
 }
 
@@ -126,25 +127,25 @@
   for (const Action& action : actions) {
     if (const auto* start = std::get_if<StartAttempt>(&action)) {
       At(now_ + kLinkDelay, [this, node, start = *start] { Arrive(node, start); });
-    } else if (std::holds_alternative<saltquay::serving::TellCrashes>(action)) {
-      At(now_ + 1us, [this, node] { TellCrashes(node); });
-    } else if (const auto* check = std::get_if<CheckEngine>(&action)) {
+    } else if (std::holds_alternative<saltquay::serving::ReportCrashes>(action)) {
+      At(now_ + 1us, [this, node] { ReportCrashes(node); });
+    } else if (const auto* check = std::get_if<ProbeEngine>(&action)) {
       At(now_ + 2 * kLinkDelay, [this, node, id = check->engine_id] {
         const bool ended = engines_.at(id).ended;
-        Send(node, EngineChecked{id, ended ? EngineCheckOutcome::kRefused : EngineCheckOutcome::kAccepted});
+        Send(node, EngineProbed{id, ended ? EngineProbeOutcome::kRefused : EngineProbeOutcome::kAccepted});
       });
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       cancelled_.insert({node, cancel->attempt});
-    } else if (const auto* own = std::get_if<AnswerOwn>(&action)) {
+    } else if (const auto* own = std::get_if<SendLocalReply>(&action)) {
       End(node, own->flow, own->status == 503 ? &refused_ : &failed_);
     } else if (const auto* relay = std::get_if<BeginRelay>(&action)) {
       const Duration took = now_ - began_[{node, relay->flow}];
       if (took <= config_.FindRoute("h.example", "/chat/x")->objective) ++in_time_;
     } else if (const auto* ended = std::get_if<EndRelay>(&action)) {
       End(node, ended->flow, &answered_);
-    } else if (const auto* whole = std::get_if<RelayAnswer>(&action)) {
+    } else if (const auto* whole = std::get_if<RelayResponse>(&action)) {
       End(node, whole->flow, &answered_);
-    } else if (const auto* broken = std::get_if<BreakOff>(&action)) {
+    } else if (const auto* broken = std::get_if<AbortResponse>(&action)) {
       End(node, broken->flow, &failed_);
     } else if (const auto* log = std::get_if<LogDecision>(&action)) {
       if (log->event == EventId::kEngineEjected) {
@@ -159,13 +160,13 @@
 }
 
 void ServingFleet::Arrive(int node, const StartAttempt& start) {
-  EngineWorld& world = engines_.at(start.engine_id);
+  SimulatedEngine& world = engines_.at(start.engine_id);
   const Call call{node, start, now_ + start.time_left};
   if (world.ended) return Send(node, AttemptFailed{start.flow, start.attempt, AttemptFailure::kNotSent});
   ++world.calls;
   if (fatal_.contains({node, start.flow}) && start.mode != AttemptMode::kPrefill) fatal_runs_.push_back({now_, node});
-  if (world.engine.health == EngineHealth::kDark) return Count(call, true);
-  if (world.engine.health == EngineHealth::kResets && random_.Unit() < kResetShare) return Reset(call);
+  if (world.engine.health == EngineHealth::kUnresponsive) return Count(call, true);
+  if (world.engine.health == EngineHealth::kResetsConnections && random_.Unit() < kResetShare) return Reset(call);
   if (world.running < world.engine.slots) return Begin(world, call);
   if (static_cast<int>(world.waiting.size()) < world.engine.queue) {
     world.waiting.push_back(call);
@@ -174,7 +175,7 @@
   Refuse(world, call);
 }
 
-void ServingFleet::Begin(EngineWorld& world, const Call& call) {
+void ServingFleet::Begin(SimulatedEngine& world, const Call& call) {
   Count(call, true);
   ++world.running;
   world.under_way[{call.node, call.start.attempt}] = call;
@@ -184,14 +185,15 @@
   At(now_ + world.engine.work * factor, [this, &world, call] { Finish(world, call); });
 }
 
-EngineLoad ServingFleet::LoadOf(const EngineWorld& world) const {
+EngineLoad ServingFleet::LoadOf(const SimulatedEngine& world) const {
   return {world.running, static_cast<int>(world.waiting.size()), world.engine.slots};
 }
 
-void ServingFleet::Refuse(EngineWorld& world, const Call& call) {
+void ServingFleet::Refuse(SimulatedEngine& world, const Call& call) {
   Count(call, false);
   if (cancelled_.contains({call.node, call.start.attempt})) return;
-  Send(call.node, AttemptHead{call.start.flow, call.start.attempt, AnswerFacts{503, true, false, LoadOf(world)}});
+  Send(call.node,
+       AttemptHeadReceived{call.start.flow, call.start.attempt, EngineResponseHead{503, true, false, LoadOf(world)}});
   Send(call.node, AttemptCompleted{call.start.flow, call.start.attempt, ""});
 }
 
@@ -201,7 +203,7 @@
   Send(call.node, AttemptFailed{call.start.flow, call.start.attempt, AttemptFailure::kBroken});
 }
 
-void ServingFleet::Finish(EngineWorld& world, const Call& call) {
+void ServingFleet::Finish(SimulatedEngine& world, const Call& call) {
   if (world.ended) return;
   --world.running;
   const bool is_wanted = world.under_way.erase({call.node, call.start.attempt}) > 0;
@@ -216,14 +218,14 @@
     }
   }
   if (!is_wanted || cancelled_.contains({call.node, call.start.attempt})) return;
-  const bool fails = world.engine.health == EngineHealth::kGrey && random_.Unit() < kGreyErrors;
-  Send(call.node,
-       AttemptHead{call.start.flow, call.start.attempt, AnswerFacts{fails ? 500 : 200, false, true, LoadOf(world)}});
+  const bool fails = world.engine.health == EngineHealth::kFailsOften && random_.Unit() < kGreyErrors;
+  Send(call.node, AttemptHeadReceived{call.start.flow, call.start.attempt,
+                                      EngineResponseHead{fails ? 500 : 200, false, true, LoadOf(world)}});
   const bool reads = call.start.mode == AttemptMode::kPrefill && !fails;
   Send(call.node, AttemptCompleted{call.start.flow, call.start.attempt, reads ? "h" : ""});
 }
 
-void ServingFleet::EndEngine(EngineWorld& world) {
+void ServingFleet::EndEngine(SimulatedEngine& world) {
   if (world.ended) return;
   world.ended = true;
   engine_ends_.push_back(now_);
@@ -244,7 +246,7 @@
 }
 
 void ServingFleet::Replace(const FleetEngine& engine) {
-  engines_[engine.record.id] = EngineWorld{};
+  engines_[engine.record.id] = SimulatedEngine{};
   AddEngine(engine);
   SendAll(EngineChanged{engine.record});
 }
@@ -270,7 +272,7 @@
 
 void ServingFleet::Report() {
   for (int to = 0; to < static_cast<int>(nodes_.size()); ++to) ReportTo(to);
-  for (int from = 0; from < static_cast<int>(nodes_.size()); ++from) TellCrashes(from);
+  for (int from = 0; from < static_cast<int>(nodes_.size()); ++from) ReportCrashes(from);
   At(now_ + kReportInterval, [this] { Report(); });
 }
 
@@ -293,21 +295,21 @@
   Send(node, changed);
 }
 
-void ServingFleet::TellCrashes(int from) {
-  const std::vector<CrashMark> marks = nodes_[from]->crashes().MarksToTell(now_);
+void ServingFleet::ReportCrashes(int from) {
+  const std::vector<CrashMark> marks = nodes_[from]->crashes().MarksToReport(now_);
   for (int to = 0; to < static_cast<int>(nodes_.size()); ++to) {
     if (!Hears(to, from) || marks.empty() || random_.Unit() < loss_) continue;
-    At(now_ + kLinkDelay, [this, to, marks] { Send(to, CrashesTold{marks}); });
+    At(now_ + kLinkDelay, [this, to, marks] { Send(to, PeerCrashesReported{marks}); });
   }
 }
 
-double ServingFleet::WorstBudget(double ratio, double slack, Duration window) const {
+double ServingFleet::MaxBudgetExcess(double ratio, double slack, Duration window) const {
   const auto asked = [&](Time from) {
     return std::count_if(requests_.begin(), requests_.end(), [&](Time at) { return at >= from && at < from + window; });
   };
   double worst = -slack;
-  for (const CountedArrival& first : counted_) {
-    const auto extras = std::count_if(counted_.begin(), counted_.end(), [&](const CountedArrival& other) {
+  for (const BudgetedArrival& first : counted_) {
+    const auto extras = std::count_if(counted_.begin(), counted_.end(), [&](const BudgetedArrival& other) {
       return other.at >= first.at && other.at < first.at + window;
     });
     const auto requests = std::max({asked(first.at), asked(first.at - window), asked(first.at - window / 2)});
@@ -316,6 +318,6 @@
   return worst;
 }
 
-void ServingFleet::ForgetCounts() { answered_ = in_time_ = refused_ = failed_ = 0; }
+void ServingFleet::ResetCounts() { answered_ = in_time_ = refused_ = failed_ = 0; }
 
 }  // namespace saltquay::serving
