--- a/include/saltquay/limits/limit_messages.h
+++ b/include/saltquay/limits/limit_messages.h
@@ -1,7 +1,8 @@
-// What nodes tell each other of tenants' limits.
+// Messages that nodes exchange to enforce tenants' rate limits.
 //
-// One message is one datagram to one node. Any of them may be lost, doubled or come late and in any order; nothing is
-// charged or given back twice for that.
+// Each tenant has one owner: the node that holds the tenant's token bucket and decides on its requests. A message is
+// one datagram to one node. It may be dropped, duplicated, delayed or reordered; no such fault charges or refunds a
+// request twice.
 #pragma once
 
 #include <cstdint>
@@ -13,63 +14,65 @@
 
 namespace saltquay::limits {
 
-// Names one charge: of which life of which node, and which one of that life.
+// Identifies a charge by the node's incarnation that made it and a sequence number within that incarnation.
 struct ChargeId {
-    std::uint64_t node = 0; // Hash of the node's name and of its life's start.
+    std::uint64_t node = 0; // Hash of the node's name and incarnation.
     std::uint64_t number = 0;
 
     auto operator<=>(ChargeId const&) const = default;
 };
 
-// May a request of the tenant be served? Sent again, unchanged, until it is answered.
+// Asks the owner to admit a request and charge its cost. Resent unchanged until it is answered.
 struct ChargeRequest {
     ChargeId charge;
-    std::uint64_t tenant = 0;             // Hash of its name.
+    std::uint64_t tenant = 0;             // Hash of the tenant's name.
     std::int64_t cost = 0;                // Units.
-    std::string reply_to;                 // Address of the node that asked.
-    std::uint8_t forwards = 0;            // How many nodes passed it on.
-    std::uint64_t unresponsive_owner = 0; // Hash of the name of a owner that did not answer the asker; 0: none.
-    bool declined = false;                // The owner itself passes it on: it has just started and knows too few nodes.
+    std::string reply_to;                 // Address of the requesting node.
+    std::uint8_t forwards = 0;            // How many nodes have forwarded it.
+    std::uint64_t unresponsive_owner = 0; // Hash of the name of an owner that did not answer the requester, or of the
+                                          // node that declined ownership; 0: none.
+    bool declined = false; // Forwarded by a node that declines ownership because it is starting, stopping or has
+                           // stepped down.
 };
 
-// The owner's answer, straight to the asker.
+// The owner's decision, sent directly to the requester.
 struct ChargeResponse {
     ChargeId charge;
     bool admitted = false;
-    Duration retry_after = 0s; // Where it is not admitted: from when on the bucket would hold the request.
+    Duration retry_after = 0s; // If refused: the time until the bucket would hold the cost.
     std::string owner;         // Name of the node that decided.
 };
 
-// The request of that charge never ran at an engine: its cost goes back into the bucket.
+// Returns the cost of a charge to the bucket because the request never ran on an engine.
 struct ChargeRefund {
     ChargeId charge;
     std::uint64_t tenant = 0;
 };
 
-// Is a node there? Answered at once.
+// Checks whether a node is alive; answered immediately.
 //
-// A node that may have to stand in for a silent owner surveys other nodes: each answers at once, so that the sender
-// learns what part of the fleet it is in touch with, and relays the question to the owner, which may be silent only
-// towards the sender.
+// A node that may have to take over from an unresponsive owner surveys other nodes. Each of them answers immediately,
+// which tells the sender how much of the fleet it can reach, and relays the probe to the owner, which may be
+// unreachable only from the sender.
 struct OwnerProbe {
     enum class Kind : std::uint8_t { Probe, Reply, Survey, SurveyReply, Relay, RelayReply };
     Kind kind = Kind::Probe;
-    std::uint64_t from = 0;  // Hash of the name of the node that asks or answers; 0: it is no owner yet.
-    std::uint64_t about = 0; // Survey, its reply and the relay: the silent owner. Relayed reply: who asked. Probe: the
-                             // receiver, if the sender has ceased to take it for a owner.
-    std::string reply_to;    // Of a relayed reply: the node that relayed it.
-    int fleet = 0;           // The most nodes that the sender was in touch with lately.
+    std::uint64_t from = 0;  // Hash of the sender's name; 0: the sender is not ready to own tenants.
+    std::uint64_t about = 0; // Survey, SurveyReply, Relay: the unresponsive owner. RelayReply: the node that sent the
+                             // survey. Probe: the receiver, if the sender considers it failed.
+    std::string reply_to;    // Address of the sender; RelayReply: of the node that relayed it.
+    int fleet = 0;           // Largest recent number of nodes that the sender could reach.
 };
 
-// The sender ceases to be the tenant's owner; the receiver goes on from this level.
+// Transfers the tenant's bucket: the sender is no longer the owner and the receiver continues from this level.
 struct BucketHandoff {
     std::uint64_t tenant = 0;
     std::uint64_t from = 0;  // Hash of the sender's name.
-    ChargeId key;            // Names this message; each is taken once.
-    double level = 0;        // Units, when it was sent.
-    bool established = true; // The sender had been the owner for long enough to know of rivals.
-    int fleet = 0;           // The most nodes that the sender was in touch with lately.
-    bool declined = false;   // The sender was handed it, and is no owner: it has just started and knows too few nodes.
+    ChargeId key;            // Identifies this message; each is applied once.
+    double level = 0;        // Units at the time of sending.
+    bool established = true; // The sender was past its probation, so it would have known of another owner.
+    int fleet = 0;           // Largest recent number of nodes that the sender could reach.
+    bool declined = false;   // Returned by a node that declines ownership because it has just started or stops.
 };
 
 using LimitMessage = std::variant<ChargeRequest, ChargeResponse, ChargeRefund, OwnerProbe, BucketHandoff>;
--- a/include/saltquay/limits/limiter.h
+++ b/include/saltquay/limits/limiter.h
@@ -1,8 +1,8 @@
-// Decides whether a request is inside its tenant's limit.
+// Decides whether a request is within its tenant's rate limit.
 //
-// The limit holds for all nodes together, so a decision may need another node's word: it is given at once or later.
-// Deterministic: times and messages in, decisions and messages out; the driver has the sockets. Times are of the clock
-// that goes on while a machine is suspended; the time of day plays no part.
+// A limit applies to all nodes together, so a decision may need a response from another node; it is then returned
+// later. The limiter is deterministic: it takes times and messages and returns decisions and messages, and the caller
+// owns the sockets. Times come from a monotonic clock that keeps running while a machine is suspended.
 #pragma once
 
 #include <cstdint>
@@ -18,93 +18,93 @@
 
 namespace saltquay::limits {
 
-// A node as the limiter knows it; its name decides of which tenants it is the owner.
+// A node as known to the limiter. Its name and link determine which tenants it owns.
 struct LimiterNode {
     std::string name;
     std::string address;
     std::string zone;
-    int link_mbps = 0; // 0: not known.
+    int link_mbps = 0; // 0: unknown.
 };
 
 enum class Verdict : std::uint8_t { Admitted, Refused, Pending };
 
 struct Decision {
     Verdict verdict = Verdict::Admitted;
-    Duration retry_after = 0s; // Where it is refused: from when on the request would be admitted, as far as is known.
-    bool over_limit = false;   // Refused for the limit; else because nobody could tell.
-    std::string decided_by;    // The owner's name, or this node's where it decided alone; for the log.
+    Duration retry_after = 0s; // If refused: the expected time until the request would be admitted.
+    bool over_limit = false;   // Refused because of the limit; false: refused because no owner could be reached.
+    std::string decided_by;    // Name of the owner, or of this node if it decided locally; logged.
 };
 
-// A decision on a request that was pending. `request` is the caller's own number for it.
+// The decision on a pending request. `request` is the number that the caller passed to `admit`.
 struct DeferredDecision {
     std::uint64_t request = 0;
     Decision decision;
 };
 
-// What changed in who decides; for the log.
+// A change of a tenant's owner or of a node's reachability; logged.
 struct OwnershipChange {
     enum class Kind : std::uint8_t { TookOver, HandedOver, Received, Unresponsive, Responsive };
     Kind kind = Kind::TookOver;
-    std::string tenant; // Empty where it concerns all tenants of a node.
-    std::string node;   // The other node; empty: none is concerned.
-    double level = 0;   // Of the bucket, in units.
+    std::string tenant; // Empty: all tenants of the node.
+    std::string node;   // The other node; empty: none.
+    double level = 0;   // Bucket level in units.
 };
 
-// What the limiter wants done.
+// Results for the caller to act on.
 struct LimiterOutput {
     std::vector<DeferredDecision> decisions;
     std::vector<AddressedLimitMessage> messages;
     std::vector<OwnershipChange> changes;
 };
 
-// Of one tenant, for metrics: as this node knows it.
+// One tenant's state as known to this node; exported as metrics.
 struct LimitStatus {
     std::string tenant;
-    std::string owner; // Name; empty: not asked yet.
-    double level = 0;  // Units; where this node is the owner.
+    std::string owner; // Name of the owner; empty: no decision yet.
+    double level = 0;  // Units; only set on the owner.
     bool is_owner = false;
-    std::int64_t admitted = 0; // Units, through this node, since its start.
+    std::int64_t admitted = 0; // Units admitted through this node since it started.
     std::int64_t refused = 0;
 };
 
-// How many nodes a node is in touch with by its newest knowledge, itself included.
+// The number of nodes that a node can currently reach, itself included.
 struct Reach {
     int nodes = 1;
-    Duration liveness_timeout {}; // A node that falls silent still counts for so long.
+    Duration liveness_timeout {}; // An unresponsive node is still counted for this long.
 };
 
 class Limiter {
 public:
     virtual ~Limiter() = default;
 
-    // The limits of the configuration in force; tenants without one are left out. A bucket whose limit changed goes on
-    // from its level, or from the new burst where that is less.
+    // Sets the limits of the active configuration; tenants without a limit are omitted. A bucket whose limit changed
+    // keeps its level, capped at the new depth.
     virtual void set_limits(Time, std::map<std::string, TenantLimit> const&) = 0;
-    // All nodes that are known, those that stop left out, without this one.
+    // Sets the known nodes, without this node and without nodes that are stopping.
     virtual void set_nodes(Time, std::vector<LimiterNode> const&) = 0;
-    // What a owner lets pass depends on it.
+    // An owner admits less while it can reach only a part of the fleet.
     virtual void set_reachable_nodes(Time, Reach const&) = 0;
-    // Pending: a DeferredDecision follows, unless the request is abandoned before. A request's charge is kept until
-    // `settle` or `refund`.
+    // Returns Pending if a DeferredDecision will follow, unless the request is refunded first. The charge is remembered
+    // until `settle` or `refund`.
     virtual Decision admit(Time, std::uint64_t request, std::string_view tenant, std::int64_t cost) = 0;
-    // The request began to run, or may have: its charge stands.
+    // The request has run or may have run: its charge becomes final.
     virtual void settle(std::uint64_t request) = 0;
-    // The request is over and has surely not run; also for one that is still pending.
+    // The request ended and certainly did not run. Also cancels a pending request.
     virtual void refund(Time, std::uint64_t request) = 0;
     virtual void on_message(Time, LimitMessage const&) = 0;
-    // Whatever is due. Call it at `next_deadline`, or more often.
+    // Handles expired timers. Must be called at `next_deadline` or earlier.
     virtual void step(Time) = 0;
     virtual std::optional<Time> next_deadline() const = 0;
-    // This node stops: what it knows goes to the next homes, and it is no owner any more.
+    // This node is stopping: hands its buckets to the next owners and owns no tenants from then on.
     virtual void begin_stop(Time) = 0;
-    // What came of the calls since the last one.
+    // Returns and clears the output of all calls since the previous `take_output`.
     virtual LimiterOutput take_output() = 0;
     virtual std::vector<LimitStatus> status(Time) const = 0;
 };
 
-// Limits that are kept by one owner for each tenant: see src/limits/home_limiter.h. `boot` tells this node's lives
-// apart; `alone`: there are no other nodes.
+// Creates a limiter with one owner node for each tenant; see src/limits/distributed_limiter.h. `incarnation`
+// distinguishes starts of this node. `single_node`: there are no other nodes.
 std::unique_ptr<Limiter> make_distributed_limiter(
-    LimiterNode const& self, std::uint64_t boot, bool alone, LimitTolerance const&, Time now);
+    LimiterNode const& self, std::uint64_t incarnation, bool single_node, LimitTolerance const&, Time now);
 
 }
--- a/src/limits/distributed_limiter.cc
+++ b/src/limits/distributed_limiter.cc
@@ -7,54 +7,54 @@
 
 namespace saltquay::limits {
 
-DistributedLimiter::DistributedLimiter(LimiterNode const& self, std::uint64_t boot, bool alone,
+DistributedLimiter::DistributedLimiter(LimiterNode const& self, std::uint64_t incarnation, bool single_node,
     LimitTolerance const& tolerance, LimiterParameters const& parameters, Time now)
     : parameters_(parameters)
     , tolerance_(tolerance)
-    , order_(self)
-    , watch_(parameters)
-    , home_(parameters, tolerance)
-    , life_(HashPair(HashText(self.name), boot))
-    , alone_(alone)
-    , joined_at_(alone ? now : now + parameters.joining)
+    , ranking_(self)
+    , detector_(parameters)
+    , buckets_(parameters, tolerance)
+    , incarnation_hash_(HashPair(HashText(self.name), incarnation))
+    , single_node_(single_node)
+    , ready_at_(single_node ? now : now + parameters.warm_up)
 {
 }
 
-bool DistributedLimiter::has_joined(Time now) const
+bool DistributedLimiter::is_ready(Time now) const
 {
-    return configured_ && now >= joined_at_ && (alone_ || (!stopping_ && order_.size() > 1));
+    return configured_ && now >= ready_at_ && (single_node_ || (!stopping_ && ranking_.size() > 1));
 }
 
-bool DistributedLimiter::may_be_home(Time now) const { return has_joined(now) && now >= replaced_until_; }
+bool DistributedLimiter::can_be_owner(Time now) const { return is_ready(now) && now >= stepped_down_until_; }
 
-OwnerCandidate const* DistributedLimiter::home_of(Time now, std::uint64_t tenant) const
+OwnerCandidate const* DistributedLimiter::owner_of(Time now, std::uint64_t tenant) const
 {
-    return order_.first(tenant, [&](std::uint64_t node) {
-        return node == order_.self().hash ? !may_be_home(now) : watch_.is_absent(now, node);
+    return ranking_.first_candidate(tenant, [&](std::uint64_t node) {
+        return node == ranking_.self().hash ? !can_be_owner(now) : detector_.is_unavailable(now, node);
     });
 }
 
-OwnerCandidate const* DistributedLimiter::target_of(Time now, std::uint64_t tenant) const
+OwnerCandidate const* DistributedLimiter::next_target(Time now, std::uint64_t tenant) const
 {
-    auto const is_left_out = [&](std::uint64_t node) {
-        return node == order_.self().hash ? !may_be_home(now) : watch_.is_suspect(node) || watch_.is_absent(now, node);
+    auto const is_excluded = [&](std::uint64_t node) {
+        return node == ranking_.self().hash ? !can_be_owner(now)
+                                            : detector_.is_suspect(node) || detector_.is_unavailable(now, node);
     };
-    int before = 0;
-    auto const* target = order_.first(tenant, is_left_out, &before);
-    return before >= parameters_.homes_tried ? nullptr : target;
+    int skipped = 0;
+    auto const* target = ranking_.first_candidate(tenant, is_excluded, &skipped);
+    return skipped >= parameters_.max_owner_candidates ? nullptr : target;
 }
 
-// A single node has no rival, whatever it missed.
-void DistributedLimiter::record_latency(Time now)
+void DistributedLimiter::check_for_pause(Time now)
 {
-    auto const before = std::exchange(last_time_, now);
-    if (!alone_ && before && now - *before >= parameters_.stood_still)
-        home_.distrust(now);
+    auto const previous = std::exchange(last_time_, now);
+    if (!single_node_ && previous && now - *previous >= parameters_.pause_threshold)
+        buckets_.restart_probation(now);
 }
 
 void DistributedLimiter::set_limits(Time now, std::map<std::string, TenantLimit> const& limits)
 {
-    record_latency(now);
+    check_for_pause(now);
     configured_ = true;
     std::map<std::uint64_t, TenantLimit const*> next;
     for (auto const& [name, limit] : limits) {
@@ -65,75 +65,75 @@
         auto& tenant = tenants_[hash];
         tenant.name = name;
         if (tenant.limit != limit) {
-            tenant.own.reset();
+            tenant.local_bucket.reset();
             tenant.refused_until = now;
         }
         tenant.limit = limit;
-        home_.change_limit(now, hash, limit);
+        buckets_.change_limit(now, hash, limit);
     }
     std::erase_if(tenants_, [&](auto const& entry) {
         if (next.contains(entry.first))
             return false;
-        home_.change_limit(now, entry.first, std::nullopt);
+        buckets_.change_limit(now, entry.first, std::nullopt);
         return true;
     });
-    rebalance(now);
+    update_ownership(now);
 }
 
 void DistributedLimiter::set_nodes(Time now, std::vector<LimiterNode> const& nodes)
 {
-    record_latency(now);
-    auto const joined = has_joined(now);
+    check_for_pause(now);
+    auto const ready = is_ready(now);
     for (auto const& node : nodes) {
-        // A node that is new to the fleet is no owner yet, unlike one that returns from behind a cut. To one that has
-        // just started, all others are new.
+        // A node that is new to the fleet is still warming up and owns no tenants yet, unlike one that returns after a
+        // network partition. A node that has just started cannot distinguish the two: all others are new to it.
         auto const hash = HashText(node.name);
-        if (known_before_.insert(hash).second && joined && was_joined_)
-            watch_.note_declined(now, hash);
+        if (seen_nodes_.insert(hash).second && ready && was_ready_)
+            detector_.record_decline(now, hash);
     }
-    auto const changed = order_.set_nodes(nodes);
-    if (changed || joined != was_joined_)
-        rebalance(now);
+    auto const changed = ranking_.set_nodes(nodes);
+    if (changed || ready != was_ready_)
+        update_ownership(now);
     else
-        hand_over_strays(now); // Handed to this node by one that knew fewer nodes.
-    was_joined_ = joined;
+        hand_off_foreign_buckets(now); // Buckets received from a node that knew fewer nodes.
+    was_ready_ = ready;
 }
 
 void DistributedLimiter::set_reachable_nodes(Time now, Reach const& reach)
 {
-    record_latency(now);
-    home_.set_reachable_nodes(now, reach);
+    check_for_pause(now);
+    buckets_.set_reachable_nodes(now, reach);
 }
 
-void DistributedLimiter::hand_over_strays(Time now)
+void DistributedLimiter::hand_off_foreign_buckets(Time now)
 {
-    std::vector<std::pair<std::uint64_t, OwnerCandidate const*>> leaving;
-    home_.for_each([&](std::uint64_t tenant) {
-        auto const* owner = home_of(now, tenant);
-        if (owner != nullptr && owner->hash != order_.self().hash)
-            leaving.emplace_back(tenant, owner);
+    std::vector<std::pair<std::uint64_t, OwnerCandidate const*>> departing;
+    buckets_.for_each([&](std::uint64_t tenant) {
+        auto const* owner = owner_of(now, tenant);
+        if (owner != nullptr && owner->hash != ranking_.self().hash)
+            departing.emplace_back(tenant, owner);
     });
-    for (auto const& [tenant, owner] : leaving)
-        hand_over(now, tenant, owner);
+    for (auto const& [tenant, owner] : departing)
+        hand_off(now, tenant, owner);
 }
 
-void DistributedLimiter::rebalance(Time now)
+void DistributedLimiter::update_ownership(Time now)
 {
-    hand_over_strays(now);
+    hand_off_foreign_buckets(now);
     for (auto const& [hash, tenant] : tenants_) {
-        auto const* owner = home_of(now, hash);
-        if (owner == nullptr || owner->hash != order_.self().hash || home_.holds(hash))
+        auto const* owner = owner_of(now, hash);
+        if (owner == nullptr || owner->hash != ranking_.self().hash || buckets_.holds(hash))
             continue;
-        home_.open(now, hash, tenant.limit, watch_.surveyed_share());
-        output_.changes.push_back({ OwnershipChange::Kind::TookOver, tenant.name, "", home_.level(now, hash) });
+        buckets_.create(now, hash, tenant.limit, detector_.reachable_share_estimate());
+        output_.changes.push_back({ OwnershipChange::Kind::TookOver, tenant.name, "", buckets_.level(now, hash) });
     }
 }
 
-void DistributedLimiter::hand_over(Time now, std::uint64_t tenant, OwnerCandidate const* to)
+void DistributedLimiter::hand_off(Time now, std::uint64_t tenant, OwnerCandidate const* to)
 {
-    auto message = home_.give_up(now, tenant);
-    message.from = order_.self().hash;
-    message.key = { life_, ++last_charge_ };
+    auto message = buckets_.release(now, tenant);
+    message.from = ranking_.self().hash;
+    message.key = { incarnation_hash_, ++last_charge_ };
     auto const known = tenants_.find(tenant);
     auto const name = known == tenants_.end() ? std::string() : known->second.name;
     output_.changes.push_back({ OwnershipChange::Kind::HandedOver, name, to->node.name, message.level });
@@ -142,190 +142,187 @@
 
 void DistributedLimiter::begin_stop(Time now)
 {
-    record_latency(now);
+    check_for_pause(now);
     stopping_ = true;
-    rebalance(now);
+    update_ownership(now);
 }
 
-std::optional<Decision> DistributedLimiter::repeat_refusal(Time now, Limited const& tenant, std::int64_t cost) const
+std::optional<Decision> DistributedLimiter::cached_refusal(Time now, TenantState const& tenant, std::int64_t cost) const
 {
-    if (now >= tenant.refused_at + parameters_.refusal_kept || now >= tenant.refused_until
-        || cost < tenant.refused_cost)
+    if (now >= tenant.refused_at + parameters_.refusal_ttl || now >= tenant.refused_until || cost < tenant.refused_cost)
         return std::nullopt;
-    // A larger one fits when the rest has come in too.
-    auto const rest = static_cast<double>(cost - tenant.refused_cost);
+    // A larger request also has to wait until the additional cost has been filled.
+    auto const additional_cost = static_cast<double>(cost - tenant.refused_cost);
     auto const retry_after =
-        tenant.refused_until - now + FromSeconds(rest / static_cast<double>(tenant.limit.rate_per_s));
-    return Decision { Verdict::Refused, std::min(retry_after, parameters_.longest_retry_after), true, tenant.owner };
+        tenant.refused_until - now + FromSeconds(additional_cost / static_cast<double>(tenant.limit.rate_per_s));
+    return Decision { Verdict::Refused, std::min(retry_after, parameters_.max_retry_after), true, tenant.owner };
 }
 
 Decision DistributedLimiter::admit(Time now, std::uint64_t request, std::string_view name, std::int64_t cost)
 {
-    record_latency(now);
+    check_for_pause(now);
     auto const hash = HashText(name);
     auto const entry = tenants_.find(hash);
     if (entry == tenants_.end() || cost <= 0)
         return {};
     auto& tenant = entry->second;
-    if (auto const refusal = repeat_refusal(now, tenant, cost)) {
+    if (auto const refusal = cached_refusal(now, tenant, cost)) {
         tenant.refused += cost;
         return *refusal;
     }
-    Pending pending;
+    PendingRequest pending;
     pending.request = request;
-    pending.ask.charge = { life_, ++last_charge_ };
-    pending.ask.tenant = hash;
-    pending.ask.cost = cost;
-    pending.ask.reply_to = order_.self().node.address;
-    pending.ends = now + parameters_.longest_wait;
-    auto const* target = target_of(now, hash);
-    if (target != nullptr && target->hash == order_.self().hash && is_owner(now, hash))
-        return decide_here(now, request, tenant, pending.ask);
-    if (!ask_next(now, pending))
-        return decide_alone(now, request, tenant, hash, cost);
-    asked_[pending.ask.charge] = request;
+    pending.sent.charge = { incarnation_hash_, ++last_charge_ };
+    pending.sent.tenant = hash;
+    pending.sent.cost = cost;
+    pending.sent.reply_to = ranking_.self().node.address;
+    pending.expires_at = now + parameters_.max_wait;
+    auto const* target = next_target(now, hash);
+    if (target != nullptr && target->hash == ranking_.self().hash && is_owner(now, hash))
+        return decide_as_owner(now, request, tenant, pending.sent);
+    if (!send_to_next_target(now, pending))
+        return decide_locally(now, request, tenant, hash, cost);
+    pending_by_charge_[pending.sent.charge] = request;
     pending_[request] = std::move(pending);
     return { Verdict::Pending, 0s, false, "" };
 }
 
 bool DistributedLimiter::is_owner(Time now, std::uint64_t tenant)
 {
-    auto const* owner = home_of(now, tenant);
-    if (owner == nullptr || owner->hash != order_.self().hash)
+    auto const* owner = owner_of(now, tenant);
+    if (owner == nullptr || owner->hash != ranking_.self().hash)
         return false;
-    if (!home_.holds(tenant))
-        rebalance(now);
+    if (!buckets_.holds(tenant))
+        update_ownership(now);
     return true;
 }
 
-Decision DistributedLimiter::decide_here(Time now, std::uint64_t request, Limited& tenant, ChargeRequest const& ask)
+Decision DistributedLimiter::decide_as_owner(
+    Time now, std::uint64_t request, TenantState& tenant, ChargeRequest const& charge_request)
 {
-    auto answer = home_.decide(now, ask);
-    answer.owner = order_.self().node.name;
-    return conclude(now, request, tenant, { ask.charge, ask.tenant, ask.cost, order_.self().hash }, answer);
+    auto response = buckets_.decide(now, charge_request);
+    response.owner = ranking_.self().node.name;
+    return apply_response(now, request, tenant,
+        { charge_request.charge, charge_request.tenant, charge_request.cost, ranking_.self().hash }, response);
 }
 
-// Only where this node is cut off from all others: while it hears them, their homes admit for all, and a owner that is
-// only slow would let every node admit besides. Until it is known of how many nodes this one is a part, its part is
-// nothing.
-Decision DistributedLimiter::decide_alone(
-    Time now, std::uint64_t request, Limited& tenant, std::uint64_t hash, std::int64_t cost)
+Decision DistributedLimiter::decide_locally(
+    Time now, std::uint64_t request, TenantState& tenant, std::uint64_t hash, std::int64_t cost)
 {
-    auto const nodes = home_.largest_reach();
+    auto const nodes = buckets_.largest_fleet_size();
     Decision undecided { Verdict::Refused, parameters_.undecided_retry_after, false, "" };
-    auto const cut_off = nodes > 1 && home_.reach() <= 1;
-    if (now < joined_at_ || (!cut_off && !alone_)) {
+    auto const is_isolated = nodes > 1 && buckets_.reachable_nodes() <= 1;
+    if (now < ready_at_ || (!is_isolated && !single_node_)) {
         tenant.refused += cost;
         return undecided;
     }
-    auto const part = 1.0 / std::max(1, nodes);
-    auto const depth = part * home_.depth_of(tenant.limit);
-    if (!tenant.own)
-        tenant.own.emplace(
-            now, part * static_cast<double>(tenant.limit.rate_per_s), depth, parameters_.first_level * depth);
-    // While homes decided, the bucket did not fill: what they admitted is not known.
-    if (now - tenant.decided_alone_at > parameters_.alone_pause)
-        tenant.own->skip_to(now, depth);
-    tenant.decided_alone_at = now;
-    if (!tenant.own->take(now, static_cast<double>(cost), static_cast<double>(cost))) {
+    auto const node_share = 1.0 / std::max(1, nodes);
+    auto const depth = node_share * buckets_.depth_of(tenant.limit);
+    if (!tenant.local_bucket)
+        tenant.local_bucket.emplace(now, node_share * static_cast<double>(tenant.limit.rate_per_s), depth,
+            parameters_.initial_level_share * depth);
+    // The bucket does not fill while owners decide: it is unknown how much they admitted.
+    if (now - tenant.local_decision_at > parameters_.local_bucket_idle_timeout)
+        tenant.local_bucket->skip_to(now, depth);
+    tenant.local_decision_at = now;
+    if (!tenant.local_bucket->take(now, static_cast<double>(cost), static_cast<double>(cost))) {
         tenant.refused += cost;
         return undecided;
     }
     tenant.admitted += cost;
     charges_[request] = { {}, hash, cost, 0 };
-    return { Verdict::Admitted, 0s, false, order_.self().node.name };
+    return { Verdict::Admitted, 0s, false, ranking_.self().node.name };
 }
 
-Decision DistributedLimiter::conclude(
-    Time now, std::uint64_t request, Limited& tenant, Charge const& charge, ChargeResponse const& answer)
+Decision DistributedLimiter::apply_response(
+    Time now, std::uint64_t request, TenantState& tenant, Charge const& charge, ChargeResponse const& response)
 {
-    tenant.owner = answer.owner;
-    if (answer.admitted) {
+    tenant.owner = response.owner;
+    if (response.admitted) {
         tenant.admitted += charge.cost;
         charges_[request] = charge;
-        return { Verdict::Admitted, 0s, false, answer.owner };
+        return { Verdict::Admitted, 0s, false, response.owner };
     }
     tenant.refused += charge.cost;
     tenant.refused_cost = charge.cost;
     tenant.refused_at = now;
-    tenant.refused_until = now + answer.retry_after;
-    return { Verdict::Refused, answer.retry_after, true, answer.owner };
+    tenant.refused_until = now + response.retry_after;
+    return { Verdict::Refused, response.retry_after, true, response.owner };
 }
 
-bool DistributedLimiter::ask_next(Time now, Pending& pending)
+bool DistributedLimiter::send_to_next_target(Time now, PendingRequest& pending)
 {
-    auto const* target = target_of(now, pending.ask.tenant);
+    auto const* target = next_target(now, pending.sent.tenant);
     if (target == nullptr)
         return false;
-    auto const* first = order_.first(pending.ask.tenant, [](std::uint64_t) { return false; });
-    if (watch_.is_suspect(first->hash))
-        pending.ask.unresponsive_owner = first->hash; // It may be silent to this node only.
-    pending.next = now + parameters_.ask_again;
-    if (target->hash == order_.self().hash) {
-        ask_relay(now, pending);
+    auto const* first = ranking_.first_candidate(pending.sent.tenant, [](std::uint64_t) { return false; });
+    if (detector_.is_suspect(first->hash))
+        pending.sent.unresponsive_owner = first->hash; // It may be unreachable only from this node.
+    pending.resend_at = now + parameters_.request_resend_interval;
+    if (target->hash == ranking_.self().hash) {
+        send_via_relay(now, pending);
         return true;
     }
     if (pending.target != target->hash)
-        pending.asks = 0;
+        pending.attempts = 0;
     pending.target = target->hash;
-    ++pending.asks;
-    send(target->node.address, pending.ask);
+    ++pending.attempts;
+    send(target->node.address, pending.sent);
     return true;
 }
 
-// This node is the next after a owner that it does not hear: others may reach it.
-void DistributedLimiter::ask_relay(Time now, Pending const& pending)
+void DistributedLimiter::send_via_relay(Time now, PendingRequest const& pending)
 {
-    auto const* owner = home_of(now, pending.ask.tenant);
-    if (owner == nullptr || watch_.via(owner->hash).empty())
+    auto const* owner = owner_of(now, pending.sent.tenant);
+    if (owner == nullptr || detector_.relay_address(owner->hash).empty())
         return;
-    auto ask = pending.ask;
-    ask.unresponsive_owner = owner->hash;
-    send(watch_.via(owner->hash), ask);
+    auto charge_request = pending.sent;
+    charge_request.unresponsive_owner = owner->hash;
+    send(detector_.relay_address(owner->hash), charge_request);
 }
 
-void DistributedLimiter::finish(std::uint64_t request, Decision const& decision)
+void DistributedLimiter::complete(std::uint64_t request, Decision const& decision)
 {
     auto const pending = pending_.find(request);
-    asked_.erase(pending->second.ask.charge);
+    pending_by_charge_.erase(pending->second.sent.charge);
     pending_.erase(pending);
     output_.decisions.push_back({ request, decision });
 }
 
-void DistributedLimiter::repeat_asks(Time now)
+void DistributedLimiter::resend_requests(Time now)
 {
     std::vector<std::uint64_t> due;
     for (auto const& [request, pending] : pending_) {
-        if (pending.next <= now || pending.ends <= now)
+        if (pending.resend_at <= now || pending.expires_at <= now)
             due.push_back(request);
     }
     for (auto const request : due) {
         auto& pending = pending_.at(request);
-        auto const entry = tenants_.find(pending.ask.tenant);
-        if (entry == tenants_.end()) { // A version took its limit away.
-            finish(request, {});
+        auto const entry = tenants_.find(pending.sent.tenant);
+        if (entry == tenants_.end()) { // A new configuration removed the limit.
+            complete(request, {});
             continue;
         }
-        if (pending.asks >= parameters_.asks_before_silent && order_.find(pending.target) != nullptr) {
-            watch_.suspect(now, pending.target);
-            pending.ask.unresponsive_owner = pending.target;
+        if (pending.attempts >= parameters_.max_unanswered_requests && ranking_.find(pending.target) != nullptr) {
+            detector_.suspect(now, pending.target);
+            pending.sent.unresponsive_owner = pending.target;
         }
-        auto const* target = target_of(now, pending.ask.tenant);
-        if (target != nullptr && target->hash == order_.self().hash && is_owner(now, pending.ask.tenant)) {
-            finish(request, decide_here(now, request, entry->second, pending.ask));
-        } else if (pending.ends <= now || !ask_next(now, pending)) {
-            abandoned_[pending.ask.charge] = now;
-            finish(request, decide_alone(now, request, entry->second, pending.ask.tenant, pending.ask.cost));
+        auto const* target = next_target(now, pending.sent.tenant);
+        if (target != nullptr && target->hash == ranking_.self().hash && is_owner(now, pending.sent.tenant)) {
+            complete(request, decide_as_owner(now, request, entry->second, pending.sent));
+        } else if (pending.expires_at <= now || !send_to_next_target(now, pending)) {
+            abandoned_[pending.sent.charge] = now;
+            complete(request, decide_locally(now, request, entry->second, pending.sent.tenant, pending.sent.cost));
         }
     }
 }
 
 void DistributedLimiter::refund(Time now, std::uint64_t request)
 {
-    record_latency(now);
+    check_for_pause(now);
     if (auto const pending = pending_.find(request); pending != pending_.end()) {
-        abandoned_[pending->second.ask.charge] = now;
-        asked_.erase(pending->second.ask.charge);
+        abandoned_[pending->second.sent.charge] = now;
+        pending_by_charge_.erase(pending->second.sent.charge);
         pending_.erase(pending);
         return;
     }
@@ -337,43 +334,44 @@
     if (tenant != tenants_.end())
         tenant->second.admitted -= charge.cost;
     if (charge.owner == 0) {
-        if (tenant != tenants_.end() && tenant->second.own)
-            tenant->second.own->credit(now, static_cast<double>(charge.cost));
-    } else if (charge.owner == order_.self().hash) {
-        home_.refund(now, charge.key);
-    } else if (auto const* owner = order_.find(charge.owner)) {
+        if (tenant != tenants_.end() && tenant->second.local_bucket)
+            tenant->second.local_bucket->credit(now, static_cast<double>(charge.cost));
+    } else if (charge.owner == ranking_.self().hash) {
+        buckets_.refund(now, charge.key);
+    } else if (auto const* owner = ranking_.find(charge.owner)) {
         send(owner->node.address, ChargeRefund { charge.key, charge.tenant });
     }
 }
 
 void DistributedLimiter::step(Time now)
 {
-    record_latency(now);
-    std::erase_if(abandoned_, [&](auto const& entry) { return now - entry.second > parameters_.answers_kept; });
-    std::erase_if(relayed_, [&](auto const& entry) { return now - entry.second.at > parameters_.answers_kept; });
-    auto const due = watch_.step(now, [&](std::uint64_t node) { return order_.find(node) != nullptr; });
+    check_for_pause(now);
+    std::erase_if(abandoned_, [&](auto const& entry) { return now - entry.second > parameters_.response_retention; });
+    std::erase_if(relayed_, [&](auto const& entry) { return now - entry.second.at > parameters_.response_retention; });
+    auto const due = detector_.step(now, [&](std::uint64_t node) { return ranking_.find(node) != nullptr; });
     for (auto const node : due.probes) {
-        if (auto const* owner = order_.find(node))
-            send(owner->node.address, make_probe(now, OwnerProbe::Kind::Probe, watch_.is_absent(now, node) ? node : 0));
+        if (auto const* owner = ranking_.find(node))
+            send(owner->node.address,
+                make_probe(now, OwnerProbe::Kind::Probe, detector_.is_unavailable(now, node) ? node : 0));
     }
     for (auto const node : due.surveys) {
-        if (auto const* owner = order_.find(node))
+        if (auto const* owner = ranking_.find(node))
             survey(now, *owner);
     }
-    for (auto const node : due.absent) {
-        if (auto const* owner = order_.find(node))
+    for (auto const node : due.failed) {
+        if (auto const* owner = ranking_.find(node))
             output_.changes.push_back({ OwnershipChange::Kind::Unresponsive, "", owner->node.name, 0 });
     }
-    if (!due.absent.empty() || due.joined)
-        rebalance(now);
-    repeat_asks(now);
+    if (!due.failed.empty() || due.returned)
+        update_ownership(now);
+    resend_requests(now);
 }
 
 std::optional<Time> DistributedLimiter::next_deadline() const
 {
-    auto next = watch_.next_deadline();
+    auto next = detector_.next_deadline();
     for (auto const& [request, pending] : pending_) {
-        auto const at = std::min(pending.next, pending.ends);
+        auto const at = std::min(pending.resend_at, pending.expires_at);
         next = next ? std::min(*next, at) : at;
     }
     return next;
@@ -384,17 +382,17 @@
     std::vector<LimitStatus> all;
     all.reserve(tenants_.size());
     for (auto const& [hash, tenant] : tenants_) {
-        LimitStatus status { tenant.name, tenant.owner, home_.level(now, hash), home_.holds(hash), tenant.admitted,
-            tenant.refused };
+        LimitStatus status { tenant.name, tenant.owner, buckets_.level(now, hash), buckets_.holds(hash),
+            tenant.admitted, tenant.refused };
         all.push_back(std::move(status));
     }
     return all;
 }
 
 std::unique_ptr<Limiter> make_distributed_limiter(
-    LimiterNode const& self, std::uint64_t boot, bool alone, LimitTolerance const& tolerance, Time now)
+    LimiterNode const& self, std::uint64_t incarnation, bool single_node, LimitTolerance const& tolerance, Time now)
 {
-    return std::make_unique<DistributedLimiter>(self, boot, alone, tolerance, LimiterParameters {}, now);
+    return std::make_unique<DistributedLimiter>(self, incarnation, single_node, tolerance, LimiterParameters {}, now);
 }
 
 }
--- a/src/limits/distributed_limiter.h
+++ b/src/limits/distributed_limiter.h
@@ -1,7 +1,9 @@
-// Limits that one owner for each tenant keeps; docs/design/tenant-limits.md has the protocol and what was weighed.
+// A limiter in which one owner node for each tenant holds the token bucket; docs/design/tenant-limits.md describes the
+// protocol and the alternatives considered.
 //
-// A request waits for its owner's word. The owner is the first node of the tenant's order that is not absent; asks that
-// come to another node are passed on. A node that reaches no owner decides by a bucket of its own, of one node's part.
+// A request waits for its owner's response. The owner is the highest-ranked node for the tenant that is available;
+// charge requests that arrive at another node are forwarded. A node that is isolated from all others decides by a local
+// bucket that holds one node's share of the limit.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +25,7 @@
 
 class DistributedLimiter final : public Limiter {
 public:
-    DistributedLimiter(LimiterNode const& self, std::uint64_t boot, bool alone, LimitTolerance const&,
+    DistributedLimiter(LimiterNode const& self, std::uint64_t incarnation, bool single_node, LimitTolerance const&,
         LimiterParameters const&, Time now);
 
     void set_limits(Time, std::map<std::string, TenantLimit> const&) override;
@@ -40,74 +42,81 @@
     std::vector<LimitStatus> status(Time) const override;
 
 private:
-    struct Limited {
+    struct TenantState {
         std::string name;
         TenantLimit limit;
-        std::optional<TokenBucket> own; // By which it is decided while no owner is reached.
-        Time decided_alone_at {};       // By that bucket.
-        std::string owner;              // That decided last.
+        std::optional<TokenBucket> local_bucket; // Used while the node is isolated from all others.
+        Time local_decision_at {};               // Last decision by the local bucket.
+        std::string owner;                       // Name of the node that decided last.
         std::int64_t admitted = 0;
         std::int64_t refused = 0;
-        std::int64_t refused_cost = 0; // Of the last refusal, which stands for a moment.
+        std::int64_t refused_cost = 0; // Of the last refusal, which is cached.
         Time refused_at {};
         Time refused_until {};
     };
-    struct Pending {
+    struct PendingRequest {
         std::uint64_t request = 0;
-        ChargeRequest ask;
-        std::uint64_t target = 0; // Hash of the node that was asked.
-        int asks = 0;             // Of that node, without an answer.
-        Time next {};
-        Time ends {};
+        ChargeRequest sent;
+        std::uint64_t target = 0; // Hash of the node that the request was sent to.
+        int attempts = 0;         // Unanswered requests to that node.
+        Time resend_at {};
+        Time expires_at {};
     };
     struct Charge {
         ChargeId key;
         std::uint64_t tenant = 0;
         std::int64_t cost = 0;
-        std::uint64_t owner = 0; // Hash of the node that charged it; 0: this node's own bucket.
+        std::uint64_t owner = 0; // Hash of the node that charged it; 0: the local bucket.
     };
 
     void on(Time, ChargeRequest const&);
     void on(Time, ChargeResponse const&);
-    void on(Time now, ChargeRefund const& message) { home_.refund(now, message.charge); }
+    void on(Time now, ChargeRefund const& message) { buckets_.refund(now, message.charge); }
     void on(Time, OwnerProbe const&);
     void on(Time, BucketHandoff const&);
 
-    // Called with each time that is handed in: finds out whether this node stood still.
-    void record_latency(Time);
-    // Asks other nodes whether they reach the owner.
+    // Called at each entry point: detects that this process was paused. A pause is harmless in a fleet of one node,
+    // which has no other owner.
+    void check_for_pause(Time);
+    // Asks other nodes whether they can reach the owner.
     void survey(Time, OwnerCandidate const& owner);
     void on_survey(Time, OwnerProbe const&);
     void on_relay_reply(Time, OwnerProbe const&);
-    void learn_fleet(Time, int nodes);
+    void learn_fleet_size(Time, int nodes);
     OwnerProbe make_probe(Time, OwnerProbe::Kind, std::uint64_t about) const;
-    // Whether this node knows the fleet, and stays.
-    bool has_joined(Time) const;
-    bool may_be_home(Time) const;
-    void note_held_silent(Time);
-    // The tenant's owner by this node's knowledge; nullptr: none.
-    OwnerCandidate const* home_of(Time, std::uint64_t tenant) const;
-    // Whether this node is the tenant's owner; it holds the bucket then.
+    // Whether this node knows the fleet and is not stopping.
+    bool is_ready(Time) const;
+    bool can_be_owner(Time) const;
+    void on_reported_unresponsive(Time);
+    // The tenant's owner as far as this node knows; nullptr: none.
+    OwnerCandidate const* owner_of(Time, std::uint64_t tenant) const;
+    // Returns whether this node is the tenant's owner; if so, ensures that it holds the bucket.
     bool is_owner(Time, std::uint64_t tenant);
-    // The node that a request's ask goes to next; nullptr: no owner is reached.
-    OwnerCandidate const* target_of(Time, std::uint64_t tenant) const;
-    // Hands over the buckets of which another node is the owner.
-    void hand_over_strays(Time);
-    // Opens the buckets of which this node is the owner now, and hands over those of which it is no more.
-    void rebalance(Time);
-    void hand_over(Time, std::uint64_t tenant, OwnerCandidate const* to);
-    void pass_on(Time, ChargeRequest const&, OwnerCandidate const& owner);
-    // Sends the ask to its next target, or waits where this node may have to stand in; false: no owner is reached.
-    bool ask_next(Time, Pending&);
-    void ask_relay(Time, Pending const&);
-    void repeat_asks(Time);
-    void note_heard(Time, std::uint64_t node);
-    Decision decide_alone(Time, std::uint64_t request, Limited&, std::uint64_t tenant, std::int64_t cost);
-    Decision decide_here(Time, std::uint64_t request, Limited&, ChargeRequest const&);
-    std::optional<Decision> repeat_refusal(Time, Limited const&, std::int64_t cost) const;
-    // Keeps the charge of an admitted request and counts what was decided.
-    Decision conclude(Time, std::uint64_t request, Limited&, Charge const&, ChargeResponse const&);
-    void finish(std::uint64_t request, Decision const&);
+    // The node that the next charge request is sent to; nullptr: no owner can be reached.
+    OwnerCandidate const* next_target(Time, std::uint64_t tenant) const;
+    // Hands off the buckets whose owner is another node.
+    void hand_off_foreign_buckets(Time);
+    // Creates the buckets of newly owned tenants and hands off those that this node no longer owns.
+    void update_ownership(Time);
+    void hand_off(Time, std::uint64_t tenant, OwnerCandidate const* to);
+    void forward(Time, ChargeRequest const&, OwnerCandidate const& owner);
+    // Sends the request to its next target, or waits if this node itself is the next candidate and may have to take
+    // over. Returns false if no owner can be reached.
+    bool send_to_next_target(Time, PendingRequest&);
+    // This node is next in the ranking after an owner that does not answer it. Sends the request through a relay, since
+    // other nodes may still reach that owner.
+    void send_via_relay(Time, PendingRequest const&);
+    void resend_requests(Time);
+    void mark_responsive(Time, std::uint64_t node);
+    // Admits only on a node that is isolated from all others. While others are reachable, their owners admit for the
+    // whole fleet, and if an owner is merely slow, local decisions would admit on every node in addition. As long as
+    // the size of the fleet is unknown, this node's share is zero.
+    Decision decide_locally(Time, std::uint64_t request, TenantState&, std::uint64_t tenant, std::int64_t cost);
+    Decision decide_as_owner(Time, std::uint64_t request, TenantState&, ChargeRequest const&);
+    std::optional<Decision> cached_refusal(Time, TenantState const&, std::int64_t cost) const;
+    // Records the charge of an admitted request and updates the counters.
+    Decision apply_response(Time, std::uint64_t request, TenantState&, Charge const&, ChargeResponse const&);
+    void complete(std::uint64_t request, Decision const&);
     void send(std::string const& address, LimitMessage const& message)
     {
         output_.messages.push_back({ address, message });
@@ -115,31 +124,31 @@
 
     LimiterParameters parameters_;
     LimitTolerance tolerance_;
-    OwnerRanking order_;
-    OwnerFailureDetector watch_;
-    OwnedBuckets home_;
-    std::uint64_t life_ = 0; // Of this node: names its charges.
+    OwnerRanking ranking_;
+    OwnerFailureDetector detector_;
+    OwnedBuckets buckets_;
+    std::uint64_t incarnation_hash_ = 0; // Hash of the node's name and incarnation; part of its charge IDs.
     std::uint64_t last_charge_ = 0;
-    bool alone_ = false;
+    bool single_node_ = false;
     bool stopping_ = false;
-    Time joined_at_ {};
-    bool was_joined_ = false;
-    std::set<std::uint64_t> known_before_; // Nodes, by hash of the name.
-    bool configured_ = false;              // Limits were told; without them, all would be admitted.
+    Time ready_at_ {};
+    bool was_ready_ = false;
+    std::set<std::uint64_t> seen_nodes_; // Hashes of the names of all nodes seen so far.
+    bool configured_ = false;            // Limits were set. Before that, no tenant would be limited.
     std::optional<Time> last_time_;
-    std::optional<Time> held_silent_since_; // By another node, without a long pause.
-    Time held_silent_at_ {};                // Last.
-    Time replaced_until_ {};
-    std::map<std::uint64_t, Limited> tenants_; // By hash of the name.
-    std::map<std::uint64_t, Pending> pending_; // By request.
-    std::map<ChargeId, std::uint64_t> asked_;  // Pending requests by charge.
-    std::map<std::uint64_t, Charge> charges_;  // Of requests that may still be given back.
-    std::map<ChargeId, Time> abandoned_;       // Asks whose answer nobody waits for any more.
+    std::optional<Time> reported_unresponsive_since_; // Start of an uninterrupted series of reports.
+    Time reported_unresponsive_at_ {};                // Last report.
+    Time stepped_down_until_ {};
+    std::map<std::uint64_t, TenantState> tenants_;        // By hash of the name.
+    std::map<std::uint64_t, PendingRequest> pending_;     // By request number.
+    std::map<ChargeId, std::uint64_t> pending_by_charge_; // Request numbers of pending requests.
+    std::map<std::uint64_t, Charge> charges_;             // Of admitted requests that may still be refunded.
+    std::map<ChargeId, Time> abandoned_;                  // Charges whose request no longer waits for a response.
     struct Relayed {
         std::string reply_to;
         Time at {};
     };
-    std::map<ChargeId, Relayed> relayed_; // Asks of nodes that the owner's answer may not reach.
+    std::map<ChargeId, Relayed> relayed_; // Requests relayed for nodes that the owner's response may not reach.
     LimiterOutput output_;
 };
 
--- a/src/limits/distributed_limiter_messages.cc
+++ b/src/limits/distributed_limiter_messages.cc
@@ -1,4 +1,4 @@
-// What a node does with other nodes' messages of limits.
+// Handles messages from other nodes' limiters.
 #include <utility>
 #include <variant>
 
@@ -9,135 +9,137 @@
 
 namespace {
 
-constexpr std::uint8_t most_forwards = 2;
+constexpr std::uint8_t max_forwards = 2;
 
 }
 
 void DistributedLimiter::on_message(Time now, LimitMessage const& message)
 {
-    record_latency(now);
+    check_for_pause(now);
     std::visit([&](auto const& typed) { on(now, typed); }, message);
 }
 
-void DistributedLimiter::on(Time now, ChargeRequest const& ask)
+void DistributedLimiter::on(Time now, ChargeRequest const& charge_request)
 {
-    if (auto const known = home_.find_answer(ask.charge)) {
-        auto answer = *known;
-        answer.owner = order_.self().node.name;
-        send(ask.reply_to, answer);
+    if (auto const known = buckets_.find_response(charge_request.charge)) {
+        auto response = *known;
+        response.owner = ranking_.self().node.name;
+        send(charge_request.reply_to, response);
         return;
     }
-    if (configured_ && !tenants_.contains(ask.tenant)) {
-        // By this node's configuration there is no limit: the asker has a newer version, or an older one.
-        send(ask.reply_to, ChargeResponse { ask.charge, true, 0s, order_.self().node.name });
+    if (configured_ && !tenants_.contains(charge_request.tenant)) {
+        // In this node's configuration the tenant has no limit; the requester has another version of it.
+        send(charge_request.reply_to, ChargeResponse { charge_request.charge, true, 0s, ranking_.self().node.name });
         return;
     }
-    if (ask.declined)
-        watch_.note_declined(now, ask.unresponsive_owner);
-    if (!is_owner(now, ask.tenant)) {
-        auto const* owner = home_of(now, ask.tenant);
+    if (charge_request.declined)
+        detector_.record_decline(now, charge_request.unresponsive_owner);
+    if (!is_owner(now, charge_request.tenant)) {
+        auto const* owner = owner_of(now, charge_request.tenant);
         if (owner != nullptr)
-            pass_on(now, ask, *owner);
-        return; // Where there is none, this node has just started and knows no other.
+            forward(now, charge_request, *owner);
+        return; // Without an owner, this node has just started and knows no other nodes.
     }
-    auto answer = home_.decide(now, ask);
-    answer.owner = order_.self().node.name;
-    send(ask.reply_to, answer);
+    auto response = buckets_.decide(now, charge_request);
+    response.owner = ranking_.self().node.name;
+    send(charge_request.reply_to, response);
 }
 
-void DistributedLimiter::pass_on(Time now, ChargeRequest const& ask, OwnerCandidate const& owner)
+void DistributedLimiter::forward(Time now, ChargeRequest const& charge_request, OwnerCandidate const& owner)
 {
-    if (ask.forwards >= most_forwards)
-        return; // Nodes disagree on the owner; by the next ask they may not.
-    auto forwarded = ask;
+    if (charge_request.forwards >= max_forwards)
+        return; // Nodes disagree on the owner; they may agree by the time the request is resent.
+    auto forwarded = charge_request;
     ++forwarded.forwards;
-    if (!may_be_home(now)) {
+    if (!can_be_owner(now)) {
         forwarded.declined = true;
-        forwarded.unresponsive_owner = order_.self().hash;
-    } else if (!ask.declined
-        && (ask.unresponsive_owner == owner.hash || ask.unresponsive_owner == order_.self().hash)) {
-        // The asker does not reach it, or is not reached by it; it is asked for the asker, and looked after.
-        if (ask.unresponsive_owner == owner.hash)
-            watch_.suspect(now, owner.hash);
-        send(ask.reply_to, make_probe(now, OwnerProbe::Kind::Reply, 0));
-        relayed_[ask.charge] = { ask.reply_to, now };
-        forwarded.reply_to = order_.self().node.address;
-        if (auto const via = watch_.via(owner.hash); !via.empty())
-            send(via, forwarded);
+        forwarded.unresponsive_owner = ranking_.self().hash;
+    } else if (!charge_request.declined
+        && (charge_request.unresponsive_owner == owner.hash
+            || charge_request.unresponsive_owner == ranking_.self().hash)) {
+        // The requester and the owner cannot reach each other in at least one direction: relay the request and the
+        // response, and check the owner.
+        if (charge_request.unresponsive_owner == owner.hash)
+            detector_.suspect(now, owner.hash);
+        send(charge_request.reply_to, make_probe(now, OwnerProbe::Kind::Reply, 0));
+        relayed_[charge_request.charge] = { charge_request.reply_to, now };
+        forwarded.reply_to = ranking_.self().node.address;
+        if (auto const relay_address = detector_.relay_address(owner.hash); !relay_address.empty())
+            send(relay_address, forwarded);
     }
     send(owner.node.address, forwarded);
 }
 
-void DistributedLimiter::on(Time now, ChargeResponse const& answer)
+void DistributedLimiter::on(Time now, ChargeResponse const& response)
 {
-    auto const asked = asked_.find(answer.charge);
-    if (asked == asked_.end()) {
-        // Once for each ask: two nodes that relay to each other must not go on for ever.
-        if (auto const relayed = relayed_.extract(answer.charge)) {
-            send(relayed.mapped().reply_to, answer);
+    auto const waiting = pending_by_charge_.find(response.charge);
+    if (waiting == pending_by_charge_.end()) {
+        // Relayed once for each request, so that two nodes that relay to each other do not loop.
+        if (auto const relayed = relayed_.extract(response.charge)) {
+            send(relayed.mapped().reply_to, response);
             return;
         }
-        auto const abandoned = abandoned_.find(answer.charge);
-        if (abandoned == abandoned_.end() || !answer.admitted)
+        auto const abandoned = abandoned_.find(response.charge);
+        if (abandoned == abandoned_.end() || !response.admitted)
             return;
-        // Nobody waits for it any more: the charge goes back.
+        // No request waits for the response any more: refund the charge.
         abandoned_.erase(abandoned);
-        if (auto const* owner = order_.find(HashText(answer.owner)))
-            send(owner->node.address, ChargeRefund { answer.charge, 0 });
+        if (auto const* owner = ranking_.find(HashText(response.owner)))
+            send(owner->node.address, ChargeRefund { response.charge, 0 });
         return;
     }
-    auto const request = asked->second;
-    auto const ask = pending_.at(request).ask;
-    // Who relays an answer hears the owner in place of this node.
-    if (pending_.at(request).ask.unresponsive_owner != HashText(answer.owner))
-        note_heard(now, HashText(answer.owner));
-    auto const tenant = tenants_.find(ask.tenant);
+    auto const request = waiting->second;
+    auto const charge_request = pending_.at(request).sent;
+    // A relayed response does not show that the owner can be reached from here.
+    if (pending_.at(request).sent.unresponsive_owner != HashText(response.owner))
+        mark_responsive(now, HashText(response.owner));
+    auto const tenant = tenants_.find(charge_request.tenant);
     if (tenant == tenants_.end())
-        return finish(request, {});
-    Charge const charge { ask.charge, ask.tenant, ask.cost, HashText(answer.owner) };
-    finish(request, conclude(now, request, tenant->second, charge, answer));
+        return complete(request, {});
+    Charge const charge { charge_request.charge, charge_request.tenant, charge_request.cost, HashText(response.owner) };
+    complete(request, apply_response(now, request, tenant->second, charge, response));
 }
 
 OwnerProbe DistributedLimiter::make_probe(Time now, OwnerProbe::Kind kind, std::uint64_t about) const
 {
-    auto const from = has_joined(now) ? order_.self().hash : 0;
-    return { kind, from, about, order_.self().node.address, home_.largest_reach() };
+    auto const from = is_ready(now) ? ranking_.self().hash : 0;
+    return { kind, from, about, ranking_.self().node.address, buckets_.largest_fleet_size() };
 }
 
 void DistributedLimiter::survey(Time now, OwnerCandidate const& owner)
 {
-    auto const asked = order_.sample(owner.hash, parameters_.surveyed_nodes);
-    watch_.note_surveyed(owner.hash, asked.size());
-    for (auto const* node : asked)
+    auto const surveyed = ranking_.sample(owner.hash, parameters_.survey_size);
+    detector_.record_survey(owner.hash, surveyed.size());
+    for (auto const* node : surveyed)
         send(node->node.address, make_probe(now, OwnerProbe::Kind::Survey, owner.hash));
 }
 
-// A node that has just started does not answer: until it knows the others, it is no owner.
+// A node that has just started does not answer: it owns no tenants until it knows the fleet.
 void DistributedLimiter::on(Time now, OwnerProbe const& probe)
 {
     using Kind = OwnerProbe::Kind;
     auto const is_direct = probe.kind != Kind::Relay && probe.kind != Kind::RelayReply;
     if (is_direct)
-        note_heard(now, probe.from);
+        mark_responsive(now, probe.from);
     switch (probe.kind) {
     case Kind::Probe:
-        if (has_joined(now))
+        if (is_ready(now))
             send(probe.reply_to, make_probe(now, Kind::Reply, 0));
-        if (probe.about == order_.self().hash)
-            note_held_silent(now);
+        if (probe.about == ranking_.self().hash)
+            on_reported_unresponsive(now);
         return;
     case Kind::Reply:
-        learn_fleet(now, probe.fleet);
+        learn_fleet_size(now, probe.fleet);
         for (auto& [request, pending] : pending_)
-            pending.asks = pending.target == probe.from ? 0 : pending.asks;
+            pending.attempts = pending.target == probe.from ? 0 : pending.attempts;
         return;
     case Kind::Survey:
         return on_survey(now, probe);
     case Kind::SurveyReply:
-        learn_fleet(now, probe.fleet);
-        return watch_.note_survey_reply(probe.about, probe.from);
+        learn_fleet_size(now, probe.fleet);
+        return detector_.record_survey_reply(probe.about, probe.from);
     case Kind::Relay:
-        if (has_joined(now))
+        if (is_ready(now))
             send(probe.reply_to, make_probe(now, Kind::RelayReply, probe.from));
         return;
     case Kind::RelayReply:
@@ -145,24 +147,25 @@
     }
 }
 
-// Another node keeps taking this one for silent, whatever it answers: it is not heard, and has been replaced.
-void DistributedLimiter::note_held_silent(Time now)
+// Another node keeps considering this one failed although it answers: its messages do not arrive there, and another
+// node has taken over.
+void DistributedLimiter::on_reported_unresponsive(Time now)
 {
-    if (!held_silent_since_ || now - held_silent_at_ > parameters_.replaced_for)
-        held_silent_since_ = now;
-    held_silent_at_ = now;
-    if (now - *held_silent_since_ < parameters_.replaced_after)
+    if (!reported_unresponsive_since_ || now - reported_unresponsive_at_ > parameters_.step_down_duration)
+        reported_unresponsive_since_ = now;
+    reported_unresponsive_at_ = now;
+    if (now - *reported_unresponsive_since_ < parameters_.step_down_after)
         return;
-    replaced_until_ = now + parameters_.replaced_for;
-    rebalance(now);
+    stepped_down_until_ = now + parameters_.step_down_duration;
+    update_ownership(now);
 }
 
 void DistributedLimiter::on_survey(Time now, OwnerProbe const& probe)
 {
-    if (!has_joined(now))
+    if (!is_ready(now))
         return;
     send(probe.reply_to, make_probe(now, OwnerProbe::Kind::SurveyReply, probe.about));
-    if (auto const* owner = order_.find(probe.about)) {
+    if (auto const* owner = ranking_.find(probe.about)) {
         auto relay = make_probe(now, OwnerProbe::Kind::Relay, probe.about);
         relay.from = probe.from;
         send(owner->node.address, relay);
@@ -171,22 +174,22 @@
 
 void DistributedLimiter::on_relay_reply(Time now, OwnerProbe const& probe)
 {
-    if (probe.about == order_.self().hash) {
-        if (watch_.note_relayed(now, probe.from, probe.reply_to))
-            rebalance(now);
-    } else if (auto const* asker = order_.find(probe.about)) {
+    if (probe.about == ranking_.self().hash) {
+        if (detector_.mark_reachable_via(now, probe.from, probe.reply_to))
+            update_ownership(now);
+    } else if (auto const* requester = ranking_.find(probe.about)) {
         auto relayed = probe;
-        relayed.reply_to = order_.self().node.address;
-        send(asker->node.address, relayed);
+        relayed.reply_to = ranking_.self().node.address;
+        send(requester->node.address, relayed);
     }
 }
 
-// One that has seen little of the fleet itself takes others' word for its size. Older ones do not, or what all have
-// forgotten would go round for ever.
-void DistributedLimiter::learn_fleet(Time now, int nodes)
+// Only a node that started recently adopts the fleet size that others report. If all nodes did, an outdated size would
+// circulate among them indefinitely.
+void DistributedLimiter::learn_fleet_size(Time now, int nodes)
 {
-    if (now < joined_at_ + parameters_.reach_memory)
-        home_.note_fleet(now, nodes);
+    if (now < ready_at_ + parameters_.fleet_size_memory)
+        buckets_.record_fleet_size(now, nodes);
 }
 
 void DistributedLimiter::on(Time now, BucketHandoff const& message)
@@ -194,33 +197,33 @@
     auto const tenant = tenants_.find(message.tenant);
     if (tenant == tenants_.end())
         return;
-    if (message.key.node == life_)
+    if (message.key.node == incarnation_hash_)
         return;
-    learn_fleet(now, message.fleet);
+    learn_fleet_size(now, message.fleet);
     if (message.declined)
-        watch_.note_declined(now, message.from);
-    if (auto const* owner = home_of(now, message.tenant); owner != nullptr && !has_joined(now)) {
-        // This node does not know the fleet yet, or stops: back to who decides meanwhile.
+        detector_.record_decline(now, message.from);
+    if (auto const* owner = owner_of(now, message.tenant); owner != nullptr && !is_ready(now)) {
+        // This node does not know the fleet yet or is stopping: return the bucket to the current owner.
         auto returned = message;
-        returned.key = { life_, ++last_charge_ };
-        returned.from = order_.self().hash;
+        returned.key = { incarnation_hash_, ++last_charge_ };
+        returned.from = ranking_.self().hash;
         returned.declined = true;
         send(owner->node.address, returned);
         return;
     }
-    home_.receive(now, message, tenant->second.limit);
-    auto const* from = order_.find(message.from);
+    buckets_.receive_handoff(now, message, tenant->second.limit);
+    auto const* from = ranking_.find(message.from);
     output_.changes.push_back({ OwnershipChange::Kind::Received, tenant->second.name,
-        from == nullptr ? std::string() : from->node.name, home_.level(now, message.tenant) });
+        from == nullptr ? std::string() : from->node.name, buckets_.level(now, message.tenant) });
 }
 
-void DistributedLimiter::note_heard(Time now, std::uint64_t node)
+void DistributedLimiter::mark_responsive(Time now, std::uint64_t node)
 {
-    if (!watch_.note_heard(now, node))
+    if (!detector_.mark_responsive(now, node))
         return;
-    if (auto const* owner = order_.find(node))
+    if (auto const* owner = ranking_.find(node))
         output_.changes.push_back({ OwnershipChange::Kind::Responsive, "", owner->node.name, 0 });
-    rebalance(now);
+    update_ownership(now);
 }
 
 }
--- a/src/limits/limiter_parameters.h
+++ b/src/limits/limiter_parameters.h
@@ -1,4 +1,4 @@
-// Every tunable number of tenants' limits, in one place.
+// Tuning parameters of the rate limiter.
 #pragma once
 
 #include "src/base/time.h"
@@ -6,55 +6,62 @@
 namespace saltquay::limits {
 
 struct LimiterParameters {
-    // An ask without an answer is sent again: several round trips between zones.
-    Duration ask_again = 30ms;
-    // A owner that left so many asks in a row unanswered is passed over.
-    int asks_before_silent = 2;
-    // Nodes that are asked in turn, before this one takes itself for cut off.
-    int homes_tried = 4;
-    // A request waits no longer for an answer: half of a short latency objective is left then.
-    Duration longest_wait = 250ms;
-    // Suspected nodes are probed at this interval until they answer or leave the fleet.
+    // An unanswered charge request is resent after this time: several round trips between zones.
+    Duration request_resend_interval = 30ms;
+    // An owner that leaves this many requests in a row unanswered is suspected and skipped.
+    int max_unanswered_requests = 2;
+    // If this many owner candidates in a row are skipped, the node treats no owner as reachable.
+    int max_owner_candidates = 4;
+    // The longest time that a request waits for a response; leaves half of a short latency objective.
+    Duration max_wait = 250ms;
+    // Interval of probes to a suspected node until it answers or leaves the fleet.
     Duration probe_interval = 30ms;
-    Duration absent_probe_interval = 300ms; // Once it is absent.
-    // A node stands in for a owner that answered no probe for so long: more than the tenth of a second for which a
-    // machine pauses that has spent its share of a processor, and several probes may be lost.
-    Duration stand_in_after = 130ms;
-    // A suspect that was heard is not suspected again for so long, whatever others say: who relays to it would survey
-    // the fleet for each ask.
-    Duration cleared_for = 100ms;
-    // So many other nodes are asked about a silent owner, at this interval: enough to tell a small part of the fleet
-    // from most of it.
-    std::size_t surveyed_nodes = 12;
+    Duration failed_probe_interval = 300ms; // Of probes and surveys after the suspect was declared failed.
+    // Another node takes over from an owner that answered no probe for this long. Longer than the 100 ms pause of a
+    // machine that has used up its CPU quota, and long enough for several probes to be dropped.
+    Duration failover_timeout = 130ms;
+    // A suspect that answered is not suspected again for this long, even if other nodes report it as unresponsive:
+    // otherwise a node that relays to it would survey the fleet for each charge request.
+    Duration suspicion_cooldown = 100ms;
+    // The number of nodes surveyed about an unresponsive owner, and the interval of surveys: enough nodes to
+    // distinguish a small part of the fleet from most of it.
+    std::size_t survey_size = 12;
     Duration survey_interval = 60ms;
-    // A node that stood still for so long may have been replaced as a owner: nothing else calls the limiter so rarely.
-    Duration stood_still = 400ms;
-    // A owner that others go on taking for silent for so long, though it answers, ceases to be one until they stop.
-    // They stop with the first answer that they hear.
-    Duration replaced_after = 500ms;
-    Duration replaced_for = 1s;
-    // A node that has just started is no owner: reports name the fleet to it within half a second.
-    Duration joining = 700ms;
-    // A new owner may have a rival for so long, on the other side of a cut that shows in its reach only then. Of the
-    // rate it has the part that a survey told, or a third where there was none.
-    Duration settling = 1500ms;
-    double settling_share = 1.0 / 3;
-    // A new owner begins with this share of the bucket: one request of the usual size, where limits are smallest.
-    double first_level = 0.15;
-    // The part of the tolerance's slack that a bucket holds beyond the burst. Requests are lumps: without it, a tenant
-    // of a few requests a second is refused inside its limit. The rest is for homes that overlap.
+    // A gap of this length between calls means that the process was paused and may have been replaced as owner: a
+    // running node calls the limiter more often.
+    Duration pause_threshold = 400ms;
+    // An owner that other nodes report as failed for `step_down_after`, although it answers their probes, gives up its
+    // tenants until `step_down_duration` after the last such report. Reports end with the first answer received.
+    Duration step_down_after = 500ms;
+    Duration step_down_duration = 1s;
+    // A node owns no tenants for this long after its start: it learns the fleet from reports within 500 ms.
+    Duration warm_up = 700ms;
+    // For this long, a new owner may coexist with another one across a network partition that its number of reachable
+    // nodes does not show yet. Meanwhile it fills its buckets at the share of the rate that a survey of the fleet
+    // returned, or at a third of the rate without a survey.
+    Duration probation = 1500ms;
+    double probation_rate_share = 1.0 / 3;
+    // Initial level of a new owner's bucket as a share of its depth: one request of typical size at the smallest
+    // limits.
+    double initial_level_share = 0.15;
+    // The share of the tolerance's slack that a bucket holds in addition to the burst. Requests have large costs:
+    // without it, a tenant with a few requests per second would be refused while within its limit. The rest of the
+    // slack covers owners that overlap in time.
     double slack_share = 0.4;
-    // Repeated asks get the same answer, and refunds are taken, for so long; a request is over by then.
-    Duration answers_kept = 4s;
-    // What a request that does not fit is told at most.
-    Duration longest_retry_after = 10s;
-    // A refusal is repeated without asking for so long: a tenant far above its limit must not load its owner.
-    Duration refusal_kept = 100ms;
-    // The largest reach of so long ago still counts: a cut of up to that length leaves both sides their shares.
-    Duration reach_memory = 120s;
-    // A node's own bucket fills while requests come to it at least so often; a longer pause means that a owner decided.
-    Duration alone_pause = 1s;
-    // Tells a caller when to come back whose request nobody could decide on.
+    // For this long, a resent request gets the same response and refunds are accepted. Requests end sooner.
+    Duration response_retention = 4s;
+    // Upper bound of the retry delay of a refused request.
+    Duration max_retry_after = 10s;
+    // For this long, a refusal is repeated without a request to the owner, so that a tenant far above its limit does
+    // not overload its owner.
+    Duration refusal_ttl = 100ms;
+    // The fleet size is the largest number of nodes reachable within this period, so that in a partition of up to this
+    // length both sides keep to their shares.
+    Duration fleet_size_memory = 120s;
+    // The local bucket fills while it decides on requests at least this often; after a longer gap, an owner has decided
+    // in the meantime.
+    Duration local_bucket_idle_timeout = 1s;
+    // Retry delay of a request that was refused because no owner could be reached.
     Duration undecided_retry_after = 300ms;
 };
 
--- a/src/limits/owned_buckets.h
+++ b/src/limits/owned_buckets.h
@@ -1,4 +1,4 @@
-// The buckets of the tenants whose owner this node is, and what was decided on them.
+// The token buckets of the tenants that this node owns, and recent decisions on charges.
 #pragma once
 
 #include <cstdint>
@@ -21,42 +21,42 @@
     OwnedBuckets(LimiterParameters const& parameters, LimitTolerance const& tolerance)
         : parameters_(parameters)
         , tolerance_(tolerance)
-        , largest_reach_(parameters.reach_memory)
+        , largest_fleet_size_(parameters.fleet_size_memory)
     {
     }
 
-    // How many nodes this one is in touch with. Of a fleet that is cut in two, each side fills its buckets at its
-    // share.
+    // Sets the number of reachable nodes. While the fleet is partitioned, each side fills its buckets in proportion to
+    // its share of the fleet.
     void set_reachable_nodes(Time, Reach const&);
-    int reach() const { return reach_.nodes; }
-    // The most nodes that it was in touch with lately; 0: not told yet.
-    int largest_reach() const { return largest_reach_.Get(); }
+    int reachable_nodes() const { return reachable_.nodes; }
+    // The largest recent number of reachable nodes, including what other nodes reported; 0: not known yet.
+    int largest_fleet_size() const { return largest_fleet_size_.Get(); }
 
     bool holds(std::uint64_t tenant) const { return buckets_.contains(tenant); }
-    // Begins with a part of the bucket: what the owner before has admitted is not known. `share`: the part of the fleet
-    // that this node was in touch with when it found the owner before to be silent; nothing: there may be another owner
-    // of which it has not heard yet.
-    void open(Time, std::uint64_t tenant, TenantLimit const&, std::optional<double> share);
-    // Goes on from what another owner held, besides what is held here already.
-    void receive(Time, BucketHandoff const&, TenantLimit const&);
-    // Ends the bucket; its level goes to another owner.
-    BucketHandoff give_up(Time, std::uint64_t tenant);
-    // This node stood still and another may have been the owner meanwhile: goes on like a new owner.
-    void distrust(Time);
-    // The most nodes that another node was in touch with.
-    void note_fleet(Time now, int nodes) { largest_reach_.Note(nodes, now); }
-    // A version of the configuration changed the limit; nothing: the tenant has none any more.
+    // Creates a partly filled bucket, since it is unknown what the previous owner admitted. `share`: the share of the
+    // fleet that this node could reach when it declared the previous owner failed; nullopt: another owner may exist
+    // that this node does not know of yet.
+    void create(Time, std::uint64_t tenant, TenantLimit const&, std::optional<double> share);
+    // Takes over another owner's level, in addition to a bucket that already exists here.
+    void receive_handoff(Time, BucketHandoff const&, TenantLimit const&);
+    // Removes the bucket and returns its level for the next owner.
+    BucketHandoff release(Time, std::uint64_t tenant);
+    // Resets all buckets to those of a new owner: the process was paused and another node may have been the owner.
+    void restart_probation(Time);
+    // Records the largest number of nodes that another node could reach.
+    void record_fleet_size(Time now, int nodes) { largest_fleet_size_.Note(nodes, now); }
+    // Applies a changed limit; nullopt: the tenant has no limit any more.
     void change_limit(Time, std::uint64_t tenant, std::optional<TenantLimit> const&);
 
-    // What was decided on a charge lately, also of buckets that were given up since.
-    std::optional<ChargeResponse> find_answer(ChargeId const&) const;
-    // Decides on an ask, or repeats what was decided on it. The tenant's bucket is held.
+    // Returns a recent response to a charge, also for buckets that were released since.
+    std::optional<ChargeResponse> find_response(ChargeId const&) const;
+    // Decides on a request, or returns the earlier response to it. The tenant's bucket must be held.
     ChargeResponse decide(Time, ChargeRequest const&);
-    // Gives back what was charged; once for each charge.
+    // Refunds a charge; at most once for each charge.
     void refund(Time, ChargeId const&);
 
     double level(Time, std::uint64_t tenant) const;
-    // The bucket's depth for a limit: its burst and a part of the slack.
+    // Bucket depth for a limit: its burst and a share of the slack.
     double depth_of(TenantLimit const&) const;
     template<typename Visit> void for_each(Visit visit) const
     {
@@ -68,35 +68,35 @@
     struct Bucket {
         TenantLimit limit;
         TokenBucket tokens;
-        std::optional<Time> settled_at; // Until then a rival may be there.
-        std::optional<double> share {}; // Of the fleet, meanwhile; the smaller of this and the reach counts.
-        double unearned = 0;            // Units that it began with, and that no owner before handed over.
+        std::optional<Time> probation_ends_at; // Another owner may exist until then; nullopt: probation is over.
+        std::optional<double> share {};        // Surveyed share of the fleet; upper bound during probation.
+        double provisional = 0;                // Initial units that were not handed over by a previous owner.
     };
-    struct Decided {
-        ChargeResponse answer;
+    struct RecordedResponse {
+        ChargeResponse response;
         std::uint64_t tenant = 0;
         std::int64_t cost = 0;
     };
 
-    // At a share of the fleet that this node is in touch with.
-    double rate_of(Bucket const&, double reach) const;
-    double share_of(Bucket const&, double reach) const;
+    // `fleet_share`: the reachable share of the fleet.
+    double rate_of(Bucket const&, double fleet_share) const;
+    double share_of(Bucket const&, double fleet_share) const;
     double depth_of(Bucket const&) const;
-    // The level at which any request is admitted, however large.
-    double enough_of(Bucket const&) const;
-    void apply(Time, Bucket&);
-    double reach_share() const;
-    void refresh(Time, Bucket&);
-    void remember(Time, Decided const&);
+    // The level at which a request of any cost is admitted.
+    double admission_level_of(Bucket const&) const;
+    void apply_limit(Time, Bucket&);
+    double reachable_share() const;
+    void end_probation_if_due(Time, Bucket&);
+    void record_response(Time, RecordedResponse const&);
 
     LimiterParameters parameters_;
     LimitTolerance tolerance_;
-    SlidingMaximum largest_reach_;
-    Reach reach_;
+    SlidingMaximum largest_fleet_size_;
+    Reach reachable_;
     std::map<std::uint64_t, Bucket> buckets_; // By tenant.
-    std::map<ChargeId, Decided> decided_;
-    std::deque<std::pair<Time, ChargeId>> decided_order_;
-    std::map<ChargeId, Time> received_; // Hand-overs that were taken.
+    std::map<ChargeId, RecordedResponse> responses_;
+    std::deque<std::pair<Time, ChargeId>> response_order_;
+    std::map<ChargeId, Time> received_handoffs_; // Handoffs that were applied.
 };
 
 }
--- a/src/limits/owner_failure_detector.h
+++ b/src/limits/owner_failure_detector.h
@@ -1,8 +1,8 @@
-// Which homes do not answer, and which decline.
+// Tracks owners that are unresponsive or decline ownership.
 //
-// A node that left asks unanswered is suspected and probed. A suspect is asked nothing; it is absent, so that the next
-// node stands in for it, only when it answered no probe for a while: one that is merely not reached by a single node
-// must not get a rival.
+// A node that leaves charge requests unanswered is suspected and probed. A suspect receives no requests. It is declared
+// failed, so that the next node in the ranking takes over, only after it has answered no probe for some time: a node
+// that is merely unreachable from a single node must not get a second owner beside it.
 #pragma once
 
 #include <cstdint>
@@ -25,30 +25,31 @@
     }
 
     void suspect(Time now, std::uint64_t node);
-    // Others were asked whether they reach it.
-    void note_surveyed(std::uint64_t node, std::size_t asked);
-    void note_survey_reply(std::uint64_t node, std::uint64_t from);
-    // Returns whether it was absent.
-    bool note_heard(Time now, std::uint64_t node);
-    // It answered through another node, at the address `via`; it stays suspected. Returns whether it was absent.
-    bool note_relayed(Time now, std::uint64_t node, std::string const& via);
-    // Through whom a suspected node is reached; empty: nobody.
-    std::string via(std::uint64_t node) const;
-    // The part of the fleet that answered while nodes became absent; nothing where none is absent.
-    std::optional<double> surveyed_share() const;
-    // It passed an ask on, for it has just started or stops: it is no owner for a while.
-    void note_declined(Time now, std::uint64_t node);
+    // Other nodes were asked whether they can reach the suspect.
+    void record_survey(std::uint64_t node, std::size_t surveyed);
+    void record_survey_reply(std::uint64_t node, std::uint64_t from);
+    // The node answered; it is no longer suspected. Returns whether it had been declared failed.
+    bool mark_responsive(Time now, std::uint64_t node);
+    // The node answered through the relay at that address; it stays suspected. Returns whether it had been declared
+    // failed.
+    bool mark_reachable_via(Time now, std::uint64_t node, std::string const& relay_address);
+    // Address of a node that relays to the suspect; empty: none.
+    std::string relay_address(std::uint64_t node) const;
+    // Share of the surveyed nodes that answered before suspects were declared failed; nullopt: none is failed.
+    std::optional<double> reachable_share_estimate() const;
+    // The node declined ownership since it has just started or stops: it is unavailable for some time.
+    void record_decline(Time now, std::uint64_t node);
 
     bool is_suspect(std::uint64_t node) const { return suspects_.contains(node); }
-    bool is_absent(Time, std::uint64_t node) const;
+    bool is_unavailable(Time, std::uint64_t node) const;
 
     struct Due {
         std::vector<std::uint64_t> probes;  // Nodes to probe now.
-        std::vector<std::uint64_t> surveys; // Nodes that others are to be asked about.
-        std::vector<std::uint64_t> absent;  // Nodes that became absent.
-        bool joined = false;                // A node that had declined may be a owner now.
+        std::vector<std::uint64_t> surveys; // Suspects about which to survey other nodes.
+        std::vector<std::uint64_t> failed;  // Nodes that were declared failed.
+        bool returned = false;              // A node that had declined is available again.
     };
-    // `is_known`: whether a node is still one of the fleet.
+    // `is_known`: whether a node is still in the fleet.
     Due step(Time, std::function<bool(std::uint64_t)> const& is_known);
     std::optional<Time> next_deadline() const;
 
@@ -56,17 +57,17 @@
     struct Suspect {
         Time since {};
         Time next_probe {};
-        bool absent = false;
+        bool failed = false;
         Time next_survey {};
-        std::size_t asked = 0;           // Nodes, in the survey.
-        std::set<std::uint64_t> replied; // Of them.
-        std::string via;
+        std::size_t surveyed = 0;        // Number of surveyed nodes.
+        std::set<std::uint64_t> replied; // Surveyed nodes that replied.
+        std::string relay_address;
     };
 
     LimiterParameters parameters_;
     std::map<std::uint64_t, Suspect> suspects_;
     std::map<std::uint64_t, Time> declined_until_;
-    std::map<std::uint64_t, Time> cleared_at_; // When a suspect was heard.
+    std::map<std::uint64_t, Time> responsive_at_; // When a former suspect last answered.
 };
 
 }
--- a/src/limits/owner_ranking.cc
+++ b/src/limits/owner_ranking.cc
@@ -38,23 +38,23 @@
     return entry == nodes_.end() ? nullptr : &entry->second;
 }
 
-std::vector<OwnerCandidate const*> OwnerRanking::sample(std::uint64_t but, std::size_t most) const
+std::vector<OwnerCandidate const*> OwnerRanking::sample(std::uint64_t excluded, std::size_t max_count) const
 {
     std::vector<std::pair<std::uint64_t, OwnerCandidate const*>> ranked;
-    auto const seed = HashPair(self_, but);
+    auto const seed = HashPair(self_, excluded);
     for (auto const& [hash, node] : nodes_) {
-        if (hash != self_ && hash != but)
-            ranked.emplace_back(rank_of(seed, hash), &node);
+        if (hash != self_ && hash != excluded)
+            ranked.emplace_back(score_of(seed, hash), &node);
     }
     std::sort(ranked.begin(), ranked.end());
     std::vector<OwnerCandidate const*> chosen;
     for (auto const& [rank, node] : ranked) {
-        if (chosen.size() < most)
+        if (chosen.size() < max_count)
             chosen.push_back(node);
     }
     return chosen;
 }
 
-std::uint64_t OwnerRanking::rank_of(std::uint64_t tenant, std::uint64_t node) { return HashPair(tenant, node); }
+std::uint64_t OwnerRanking::score_of(std::uint64_t tenant, std::uint64_t node) { return HashPair(tenant, node); }
 
 }
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket that fills by elapsed time.
+// A token bucket that refills with elapsed time.
 #pragma once
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 
 class TokenBucket {
 public:
-    // `rate`: units a second.
+    // `rate`: units per second.
     TokenBucket(Time now, double rate, double depth, double level)
         : rate_(rate)
         , depth_(depth)
         , level_(std::min(level, depth))
-        , filled_at_(now)
+        , updated_at_(now)
     {
-        note_full();
+        update_last_full();
     }
 
     void set_limit(Time now, double rate, double depth)
@@ -25,71 +25,73 @@
         rate_ = rate;
         depth_ = depth;
         level_ = std::min(level_, depth);
-        note_full();
+        update_last_full();
     }
-    // Time passed of which it is not known what was taken elsewhere: nothing is filled for it.
-    void skip_to(Time now, double most)
+    // Advances to `now` without refilling, for a period in which an unknown amount was taken elsewhere.
+    void skip_to(Time now, double max_level)
     {
-        filled_at_ = std::max(filled_at_, now);
-        level_ = std::min(level_, most);
+        updated_at_ = std::max(updated_at_, now);
+        level_ = std::min(level_, max_level);
     }
-    // Takes the cost if the level holds it, or `enough` of it: the level goes below zero by the rest then.
-    bool take(Time now, double cost, double enough)
+    // Takes `cost` if the level is at least the smaller of `cost` and `admission_level`. A larger cost makes the level
+    // negative.
+    bool take(Time now, double cost, double admission_level)
     {
         fill(now);
-        if (level_ < std::min(cost, enough))
+        if (level_ < std::min(cost, admission_level))
             return false;
         level_ -= cost;
         return true;
     }
-    // For `span` up to now the rate was too high by `excess`: takes back what that filled. The level may go below zero.
-    void take_back(Time now, double excess, Duration span)
+    // Takes back what was filled while the rate was too high by `excess` during the last `duration`. The level may
+    // become negative.
+    void revoke(Time now, double excess, Duration duration)
     {
         fill(now);
-        level_ -= excess * ToSeconds(std::min(span, now - full_at_)); // A full bucket fills no further.
+        level_ -= excess * ToSeconds(std::min(duration, now - last_full_at_)); // A full bucket was not filled further.
     }
-    // Adds what was taken and not used, or what another bucket held.
+    // Adds a refund or the level of another bucket.
     void credit(Time now, double amount)
     {
         fill(now);
         level_ = std::min(depth_, level_ + amount);
-        note_full();
+        update_last_full();
     }
-    // How long until `take` would succeed, if nothing else is taken meanwhile; `longest` where it never would.
-    Duration time_until(Time now, double cost, double enough, Duration longest)
+    // Returns the time until `take` would succeed if nothing else is taken; at most `max_wait`, also if it never would.
+    Duration time_until_available(Time now, double cost, double admission_level, Duration max_wait)
     {
         fill(now);
-        auto const needed = std::min(cost, enough);
+        auto const needed = std::min(cost, admission_level);
         auto const missing = needed - level_;
         if (missing <= 0)
             return Duration(0);
-        auto const never = needed > depth_ || rate_ * ToSeconds(longest) <= missing;
-        return never ? longest : FromSeconds(missing / rate_) + 1us; // Rounded up: the level holds it by then.
+        auto const never = needed > depth_ || rate_ * ToSeconds(max_wait) <= missing;
+        return never ? max_wait : FromSeconds(missing / rate_) + 1us; // Rounded up, so that the level suffices by then.
     }
     double level(Time now) const { return level_at(now); }
 
 private:
     double level_at(Time now) const
     {
-        return now <= filled_at_ ? level_ : std::min(depth_, level_ + rate_ * ToSeconds(now - filled_at_));
+        return now <= updated_at_ ? level_ : std::min(depth_, level_ + rate_ * ToSeconds(now - updated_at_));
     }
     void fill(Time now)
     {
         level_ = level_at(now);
-        filled_at_ = std::max(filled_at_, now);
-        note_full();
+        updated_at_ = std::max(updated_at_, now);
+        update_last_full();
     }
-    void note_full()
+    void update_last_full()
     {
         if (level_ >= depth_)
-            full_at_ = filled_at_;
+            last_full_at_ = updated_at_;
     }
 
     double rate_ = 0;
     double depth_ = 0;
     double level_ = 0;
-    Time filled_at_ {};
-    Time full_at_ {}; // When it was full last.
+    Time updated_at_ {};
+    Time last_full_at_ {}; // When the bucket was last full.
 };
 
 }
