--- a/tests/limits/limit_bound_test.cc
+++ b/tests/limits/limit_bound_test.cc
@@ -1,4 +1,4 @@
-// Whatever fails, all nodes together stay inside the tolerance of each tenant's limit.
+// Under random faults, all nodes together stay within the tolerance of each tenant's limit.
 #include <algorithm>
 #include <functional>
 
@@ -11,19 +11,19 @@
 
 TenantLimit tokens(std::int64_t rate) { return { rate, rate, LimitUnit::Tokens, 1 }; }
 
-constexpr std::int64_t small_rate = 29'000; // Three usual requests a second.
+constexpr std::int64_t small_rate = 29'000; // Three typical requests per second.
 constexpr std::int64_t large_rate = 1'900'000;
 
 std::map<std::string, TenantLimit> const limits { { "small", tokens(small_rate) }, { "large", tokens(large_rate) },
     { "middle", tokens(250'000) } };
 
-// What the drawn schedules may hold beyond the usual.
+// Additional faults in the random schedules.
 struct ScheduleOptions {
-    bool grows_behind_cuts = false; // Nodes are added also while the fleet is cut.
-    int most_links = 0; // Links that one step cuts in one direction; 0: one for each three nodes, at most 4.
+    bool adds_nodes_in_partitions = false; // Also adds nodes during a partition.
+    int max_links = 0;                     // One-way links that a step blocks; 0: one per three nodes, at most 4.
 };
 
-// What goes wrong, drawn anew at each step; everything is mended at the end of its span.
+// Injects a random fault at each step and heals all faults at the end.
 class Schedule {
 public:
     Schedule(std::uint64_t seed, int nodes, ScheduleOptions const& options)
@@ -32,37 +32,37 @@
         , fleet_({ nodes, seed }, limits)
     {
         for (auto const& [tenant, limit] : limits) {
-            auto const times_limit = random_.Chance(0.6) ? 4.0 : 0.8;
-            auto const node = random_.Chance(0.2) ? pick() : -1;
-            fleet_.demand(tenant, { times_limit * static_cast<double>(limit.rate_per_s), node, 0.05, 0.02 });
+            auto const load_factor = random_.Chance(0.6) ? 4.0 : 0.8;
+            auto const node = random_.Chance(0.2) ? pick_node() : -1;
+            fleet_.set_demand(tenant, { load_factor * static_cast<double>(limit.rate_per_s), node, 0.05, 0.02 });
         }
     }
     void run(int steps)
     {
         fleet_.run_for(2s);
         for (int step = 0; step < steps; ++step) {
-            fail();
+            inject_fault();
             fleet_.run_for(random_.DurationBelow(2500ms));
             if (random_.Chance(0.5))
-                mend();
+                heal_all();
         }
-        mend();
+        heal_all();
         fleet_.run_for(4s);
     }
-    double most_over(std::string const& tenant) const { return fleet_.most_over(tenant, limits.at(tenant)); }
+    double largest_excess(std::string const& tenant) const { return fleet_.largest_excess(tenant, limits.at(tenant)); }
 
 private:
-    int pick() { return static_cast<int>(random_.Below(static_cast<std::uint64_t>(fleet_.size()))); }
-    // The owner of one of the tenants, most often: elsewhere little happens.
-    int pick_home()
+    int pick_node() { return static_cast<int>(random_.Below(static_cast<std::uint64_t>(fleet_.size()))); }
+    // Mostly the owner of one of the tenants, where faults have the largest effect.
+    int pick_owner()
     {
         static char const* const tenants[] = { "small", "large", "middle" };
-        auto const owner = fleet_.home_of(tenants[random_.Below(3)]);
-        return owner >= 0 && random_.Chance(0.8) ? owner : pick();
+        auto const owner = fleet_.owner_of(tenants[random_.Below(3)]);
+        return owner >= 0 && random_.Chance(0.8) ? owner : pick_node();
     }
-    void fail()
+    void inject_fault()
     {
-        auto const node = pick_home();
+        auto const node = pick_owner();
         switch (random_.Below(11)) {
         case 0:
             return fleet_.kill(node);
@@ -71,16 +71,16 @@
         case 2:
             return fleet_.suspend(node, 50ms + random_.DurationBelow(9s));
         case 3:
-            return cut([=](int each) { return each == node ? 1 : 0; });
-        case 4: // A zone.
-            return cut([](int each) { return each % 3 == 0 ? 1 : 0; });
-        case 5: // All zones.
-            return cut([](int each) { return each % 3; });
-        case 6: // Each node from all others.
-            return cut([](int each) { return each; });
+            return partition([=](int each) { return each == node ? 1 : 0; });
+        case 4: // One zone.
+            return partition([](int each) { return each % 3 == 0 ? 1 : 0; });
+        case 5: // All zones from each other.
+            return partition([](int each) { return each % 3; });
+        case 6: // All nodes from each other.
+            return partition([](int each) { return each; });
         case 7:
-            for (int link = 0; link < links_to_cut(); ++link)
-                fleet_.cut_link(pick(), pick_home());
+            for (int link = 0; link < links_to_block(); ++link)
+                fleet_.block_link(pick_node(), pick_owner());
             return;
         case 8:
             return fleet_.set_loss(0.3 * random_.Unit(), 0.3 * random_.Unit());
@@ -88,27 +88,27 @@
             if (fleet_.is_up(node))
                 fleet_.begin_stop(node);
             return;
-        default: // Where a fleet grows behind a cut, that side counts as the larger one.
-            if (!is_cut_ || options_.grows_behind_cuts)
+        default: // A side of a partition that adds nodes counts as the larger part of the fleet.
+            if (!is_partitioned_ || options_.adds_nodes_in_partitions)
                 fleet_.add_node();
         }
     }
-    int links_to_cut() const { return options_.most_links > 0 ? options_.most_links : std::min(4, fleet_.size() / 3); }
+    int links_to_block() const { return options_.max_links > 0 ? options_.max_links : std::min(4, fleet_.size() / 3); }
     void restart_all()
     {
         for (int node = 0; node < fleet_.size(); ++node)
             fleet_.kill(node);
         fleet_.run_for(300ms);
-        mend();
+        heal_all();
     }
-    void cut(std::function<int(int)> const& side_of)
+    void partition(std::function<int(int)> const& side_of)
     {
-        is_cut_ = true;
-        fleet_.cut(side_of);
+        is_partitioned_ = true;
+        fleet_.partition(side_of);
     }
-    void mend()
+    void heal_all()
     {
-        is_cut_ = false;
+        is_partitioned_ = false;
         fleet_.heal();
         fleet_.set_loss(0, 0);
         for (int node = 0; node < fleet_.size(); ++node) {
@@ -120,7 +120,7 @@
     Random random_;
     ScheduleOptions options_;
     LimitFleet fleet_;
-    bool is_cut_ = false;
+    bool is_partitioned_ = false;
 };
 
 struct Case {
@@ -131,42 +131,42 @@
 
 class LimitBoundTest : public testing::TestWithParam<Case> { };
 
-TEST_P(LimitBoundTest, HoldsOnRandomSchedules)
+TEST_P(LimitBoundTest, StaysWithinToleranceUnderRandomFaults)
 {
     Schedule schedule(GetParam().seed, GetParam().nodes, GetParam().options);
     schedule.run(GetParam().nodes >= 300 ? 3 : 10);
     for (auto const& [tenant, limit] : limits)
-        EXPECT_LE(schedule.most_over(tenant), 0) << tenant;
+        EXPECT_LE(schedule.largest_excess(tenant), 0) << tenant;
 }
 
-ScheduleOptions const growing { true, 0 };
+ScheduleOptions const growing_partitions { true, 0 };
 ScheduleOptions const many_links { false, 4 };
 
 #ifdef SALTQUAY_OPEN_SEEDS
-// Schedules that still break the bound: three or four nodes, of which one is a large part of the fleet.
+// Schedules that still exceed the bound: in fleets of three or four nodes, one node is a large part of the fleet.
 std::vector<Case> cases()
 {
     std::vector<Case> all { { 3, 440 }, { 4, 124 }, { 4, 257 }, { 4, 347 }, { 4, 580 }, { 3, 347, many_links },
         { 3, 437, many_links } };
     for (std::uint64_t const seed : { 45, 66, 77, 194, 290, 292, 316, 321, 337, 358, 440, 459, 490, 510 })
-        all.push_back({ 3, seed, growing });
+        all.push_back({ 3, seed, growing_partitions });
     return all;
 }
 #else
 std::vector<Case> cases()
 {
-    // Of each size so many seeds; the least fleets are the hardest, for one node is a large part of them.
+    // Fleet size and number of seeds. Small fleets are the hardest, since one node is a large part of them.
     std::pair<int, std::uint64_t> const sizes[] = { { 1, 3 }, { 3, 40 }, { 12, 40 }, { 65, 6 }, { 300, 1 } };
     std::vector<Case> all;
     for (auto const& [nodes, seeds] : sizes) {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed)
             all.push_back({ nodes, seed });
     }
-    // Seeds that once broke the bound.
+    // Seeds that once exceeded the bound.
     for (std::uint64_t const seed : { 194, 236, 281, 292, 430 })
         all.push_back({ 3, seed });
     for (std::uint64_t const seed : { 98, 118, 430 })
-        all.push_back({ 3, seed, growing });
+        all.push_back({ 3, seed, growing_partitions });
     for (std::uint64_t const seed : { 10, 59, 60, 76 })
         all.push_back({ 3, seed, many_links });
     return all;
@@ -175,7 +175,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LimitBoundTest, testing::ValuesIn(cases()), [](auto const& info) {
     auto const& options = info.param.options;
-    auto const* kind = options.grows_behind_cuts ? "Growing" : options.most_links > 0 ? "ManyLinks" : "";
+    auto const* kind = options.adds_nodes_in_partitions ? "Growing" : options.max_links > 0 ? "ManyLinks" : "";
     return "Of" + std::to_string(info.param.nodes) + kind + "Seed" + std::to_string(info.param.seed);
 });
 
--- a/tests/limits/limit_failures_test.cc
+++ b/tests/limits/limit_failures_test.cc
@@ -1,4 +1,4 @@
-// One failure a test: who decides then, how much is let through, and what callers inside the limit see of it.
+// One kind of fault per test: which node decides, how much is admitted, and how requests within the limit are affected.
 #include <gtest/gtest.h>
 
 #include "tests/limits/limit_fleet.h"
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::int64_t rate = 250'000;
-constexpr double calm = 0.55;
-constexpr double hot = 4;
+constexpr double below_limit = 0.55;
+constexpr double above_limit = 4;
 
-std::map<std::string, TenantLimit> one_tenant(std::int64_t units = rate)
+std::map<std::string, TenantLimit> limits_of_one_tenant(std::int64_t units = rate)
 {
     return { { "t", { units, units, LimitUnit::Tokens, 1 } } };
 }
@@ -18,32 +18,32 @@
 class LimitFailuresTest : public testing::Test {
 protected:
     explicit LimitFailuresTest(FleetOptions const& options = {})
-        : fleet_(options, one_tenant())
+        : fleet_(options, limits_of_one_tenant())
     {
-        ask_for(calm);
+        set_load(below_limit);
         fleet_.run_for(6s);
-        fleet_.forget_outcomes();
-        home_ = fleet_.home_of("t");
+        fleet_.reset_outcomes();
+        owner_ = fleet_.owner_of("t");
     }
-    void ask_for(double times_limit, int node = -1)
+    void set_load(double load_factor, int node = -1)
     {
-        fleet_.demand("t", { times_limit * static_cast<double>(rate), node });
+        fleet_.set_demand("t", { load_factor * static_cast<double>(rate), node });
     }
-    // Runs on and says which share of what was asked was not served.
-    double refused_in(Duration span)
+    // Runs for `span` and returns the share of the offered units that was refused.
+    double refused_share_during(Duration span)
     {
-        fleet_.forget_outcomes();
+        fleet_.reset_outcomes();
         fleet_.run_for(span);
         return fleet_.outcome("t").refused_share();
     }
-    // Units that were let through a second, in that time.
-    double admitted_in(Duration span)
+    // Runs for `span` and returns the admitted rate as a multiple of the limit.
+    double admitted_rate_during(Duration span)
     {
-        fleet_.forget_outcomes();
+        fleet_.reset_outcomes();
         fleet_.run_for(span);
         return fleet_.outcome("t").admitted / ToSeconds(span) / static_cast<double>(rate);
     }
-    double over() const { return fleet_.most_over("t", one_tenant().at("t")); }
+    double excess() const { return fleet_.largest_excess("t", limits_of_one_tenant().at("t")); }
     void kill_all()
     {
         for (int node = 0; node < fleet_.size(); ++node)
@@ -54,147 +54,147 @@
         for (int node = 0; node < fleet_.size(); ++node)
             fleet_.start(node);
     }
-    int other_than(int node) const { return (node + 1) % fleet_.size(); }
+    int node_other_than(int node) const { return (node + 1) % fleet_.size(); }
 
     LimitFleet fleet_;
-    int home_ = -1;
+    int owner_ = -1;
 };
 
-TEST_F(LimitFailuresTest, WithoutAFailureNothingInsideTheLimitIsRefused)
+TEST_F(LimitFailuresTest, RefusesNothingWithinTheLimitWithoutFaults)
 {
-    EXPECT_EQ(refused_in(10s), 0);
-    ask_for(hot);
+    EXPECT_EQ(refused_share_during(10s), 0);
+    set_load(above_limit);
     fleet_.run_for(2s);
-    EXPECT_NEAR(admitted_in(10s), 1, 0.03);
-    EXPECT_LE(over(), 0);
+    EXPECT_NEAR(admitted_rate_during(10s), 1, 0.03);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, TheNextNodeStandsInForAHomeThatIsKilled)
+TEST_F(LimitFailuresTest, NextNodeTakesOverFromAKilledOwner)
 {
-    fleet_.kill(home_);
-    EXPECT_LT(refused_in(3s), 0.1);
-    EXPECT_NE(fleet_.home_of("t"), home_);
-    EXPECT_LT(refused_in(5s), 0.01);
+    fleet_.kill(owner_);
+    EXPECT_LT(refused_share_during(3s), 0.1);
+    EXPECT_NE(fleet_.owner_of("t"), owner_);
+    EXPECT_LT(refused_share_during(5s), 0.01);
 }
 
-TEST_F(LimitFailuresTest, AHomeThatIsKilledUnderAHotTenantIsNoSecondBucket)
+TEST_F(LimitFailuresTest, KilledOwnerOfAnOverLimitTenantAddsNoSecondBucket)
 {
-    ask_for(hot);
+    set_load(above_limit);
     fleet_.run_for(100ms);
-    fleet_.kill(home_);
+    fleet_.kill(owner_);
     fleet_.run_for(10s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AHomeThatComesBackGoesOnFromItsStandInsLevel)
+TEST_F(LimitFailuresTest, RestartedOwnerContinuesFromItsSuccessorsLevel)
 {
-    fleet_.kill(home_);
+    fleet_.kill(owner_);
     fleet_.run_for(5s);
-    fleet_.start(home_);
-    EXPECT_LT(refused_in(4s), 0.02);
-    EXPECT_EQ(fleet_.home_of("t"), home_);
-    ask_for(hot);
+    fleet_.start(owner_);
+    EXPECT_LT(refused_share_during(4s), 0.02);
+    EXPECT_EQ(fleet_.owner_of("t"), owner_);
+    set_load(above_limit);
     fleet_.run_for(9s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AsksOfANodeThatIsKilledCostTheTenantNothingElse)
+TEST_F(LimitFailuresTest, RequestsOfAKilledNodeCauseNoFurtherRefusals)
 {
-    auto const node = other_than(home_);
-    ask_for(calm, node);
+    auto const node = node_other_than(owner_);
+    set_load(below_limit, node);
     fleet_.run_for(1s);
     fleet_.kill(node);
-    ask_for(calm);
-    EXPECT_EQ(refused_in(5s), 0);
+    set_load(below_limit);
+    EXPECT_EQ(refused_share_during(5s), 0);
 }
 
-TEST_F(LimitFailuresTest, BothSidesOfAHomeThatIsCutOffStayInsideTogether)
+TEST_F(LimitFailuresTest, IsolatedOwnerAndTheOthersStayWithinTheLimitTogether)
 {
-    ask_for(hot);
-    auto const owner = home_;
-    fleet_.cut([=](int node) { return node == owner ? 1 : 0; });
+    set_load(above_limit);
+    auto const owner = owner_;
+    fleet_.partition([=](int node) { return node == owner ? 1 : 0; });
     fleet_.run_for(10s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
     fleet_.heal();
     fleet_.run_for(10s);
-    EXPECT_LE(over(), 0);
-    EXPECT_NEAR(admitted_in(5s), 1, 0.05);
+    EXPECT_LE(excess(), 0);
+    EXPECT_NEAR(admitted_rate_during(5s), 1, 0.05);
 }
 
-TEST_F(LimitFailuresTest, OfALostZoneEachSideHasItsShare)
+TEST_F(LimitFailuresTest, BothSidesOfAPartitionedZoneGetTheirShare)
 {
-    ask_for(hot);
-    fleet_.cut([](int node) { return node % 3 == 0 ? 1 : 0; });
+    set_load(above_limit);
+    fleet_.partition([](int node) { return node % 3 == 0 ? 1 : 0; });
     fleet_.run_for(4s);
-    EXPECT_NEAR(admitted_in(8s), 1, 0.05);
-    EXPECT_LE(over(), 0);
+    EXPECT_NEAR(admitted_rate_during(8s), 1, 0.05);
+    EXPECT_LE(excess(), 0);
     fleet_.heal();
     fleet_.run_for(8s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AfterALongCutBothSidesTogetherHoldOneBucket)
+TEST_F(LimitFailuresTest, BothSidesOfALongPartitionTogetherHoldOneBucket)
 {
-    ask_for(0);
-    fleet_.cut([](int node) { return node % 3 == 0 ? 1 : 0; });
+    set_load(0);
+    fleet_.partition([](int node) { return node % 3 == 0 ? 1 : 0; });
     fleet_.run_for(10s);
-    ask_for(hot);
+    set_load(above_limit);
     EXPECT_LE(fleet_.level_of("t"), rate + 0.4 * test_tolerance.slack + 1);
     fleet_.run_for(8s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AHomeThatIsNotHeardByOneNodeGetsNoRivalAndServesItAllTheSame)
+TEST_F(LimitFailuresTest, OwnerThatOneNodeCannotHearIsNotReplacedAndStillServesThatNode)
 {
-    auto const node = other_than(home_);
-    fleet_.cut_link(home_, node);
+    auto const node = node_other_than(owner_);
+    fleet_.block_link(owner_, node);
     fleet_.run_for(1s);
-    EXPECT_LT(refused_in(8s), 0.01);
-    ask_for(hot);
+    EXPECT_LT(refused_share_during(8s), 0.01);
+    set_load(above_limit);
     fleet_.run_for(10s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AHomeThatDoesNotHearOneNodeIsAskedThroughOthers)
+TEST_F(LimitFailuresTest, OwnerThatCannotHearOneNodeIsReachedThroughRelays)
 {
-    auto const node = other_than(home_);
-    fleet_.cut_link(node, home_);
-    ask_for(calm, node);
+    auto const node = node_other_than(owner_);
+    fleet_.block_link(node, owner_);
+    set_load(below_limit, node);
     fleet_.run_for(1s);
-    EXPECT_LT(refused_in(8s), 0.01);
+    EXPECT_LT(refused_share_during(8s), 0.01);
 }
 
-TEST_F(LimitFailuresTest, AHomeThatNobodyHearsCeasesToBeOne)
+TEST_F(LimitFailuresTest, OwnerThatNoNodeHearsStepsDown)
 {
     for (int node = 0; node < fleet_.size(); ++node)
-        fleet_.cut_link(home_, node);
-    ask_for(hot);
+        fleet_.block_link(owner_, node);
+    set_load(above_limit);
     fleet_.run_for(12s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AHomeThatWakesIsNoSecondBucket)
+TEST_F(LimitFailuresTest, ResumedOwnerAddsNoSecondBucket)
 {
     for (auto const span : { Duration(200ms), Duration(500ms), Duration(3s), Duration(12s) }) {
-        ask_for(0);
-        fleet_.suspend(fleet_.home_of("t"), span);
+        set_load(0);
+        fleet_.suspend(fleet_.owner_of("t"), span);
         fleet_.run_for(span - 100ms);
-        ask_for(hot);
+        set_load(above_limit);
         fleet_.run_for(10s);
-        EXPECT_LE(over(), 0) << span.count();
+        EXPECT_LE(excess(), 0) << span.count();
     }
 }
 
-TEST_F(LimitFailuresTest, AHomeThatIsSuspendedIsReplaced)
+TEST_F(LimitFailuresTest, SuspendedOwnerIsReplaced)
 {
-    fleet_.suspend(home_, 3s);
-    EXPECT_LT(refused_in(3s), 0.1);
-    EXPECT_LT(refused_in(5s), 0.02);
+    fleet_.suspend(owner_, 3s);
+    EXPECT_LT(refused_share_during(3s), 0.1);
+    EXPECT_LT(refused_share_during(5s), 0.02);
 }
 
-TEST_F(LimitFailuresTest, WhatRanBeforeAllWereKilledStillCounts)
+TEST_F(LimitFailuresTest, AdmissionsBeforeAFleetRestartStillCount)
 {
-    ask_for(hot);
+    set_load(above_limit);
     fleet_.run_for(3s);
     for (int times = 0; times < 3; ++times) {
         kill_all();
@@ -203,42 +203,42 @@
         fleet_.run_for(2s);
     }
     fleet_.run_for(8s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AfterAllWereKilledTheTenantIsServedAgain)
+TEST_F(LimitFailuresTest, ServesTheTenantAgainAfterAFleetRestart)
 {
     kill_all();
     start_all();
     fleet_.run_for(3s);
-    EXPECT_LT(refused_in(5s), 0.01);
+    EXPECT_LT(refused_share_during(5s), 0.01);
 }
 
-TEST_F(LimitFailuresTest, AFreshNodeWithoutAConfigurationAdmitsNothing)
+TEST_F(LimitFailuresTest, NewNodeWithoutAConfigurationAdmitsNothing)
 {
     auto limiter = make_distributed_limiter({ "fresh", "0", "z" }, 1, false, test_tolerance, fleet_.now());
     limiter->on_message(fleet_.now(), ChargeRequest { { 1, 1 }, 2, 9'200, "1" });
     EXPECT_TRUE(limiter->take_output().messages.empty());
 }
 
-TEST_F(LimitFailuresTest, LostMessagesCostLittle)
+TEST_F(LimitFailuresTest, DroppedMessagesCauseFewRefusals)
 {
     fleet_.set_loss(0.1, 0);
-    EXPECT_LT(refused_in(10s), 0.01);
-    ask_for(hot);
+    EXPECT_LT(refused_share_during(10s), 0.01);
+    set_load(above_limit);
     fleet_.run_for(10s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, DoubledMessagesAreChargedOnceAndGivenBackOnce)
+TEST_F(LimitFailuresTest, DuplicatedMessagesAreChargedAndRefundedOnce)
 {
     fleet_.set_loss(0, 1);
-    ask_for(hot);
+    set_load(above_limit);
     fleet_.run_for(1s);
-    EXPECT_NEAR(admitted_in(8s), 1, 0.03);
-    fleet_.demand("t", { hot * rate, -1, 0.5 });
+    EXPECT_NEAR(admitted_rate_during(8s), 1, 0.03);
+    fleet_.set_demand("t", { above_limit * rate, -1, 0.5 });
     fleet_.run_for(10s);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
 class SlowLinksTest : public LimitFailuresTest {
@@ -249,32 +249,32 @@
     }
 };
 
-TEST_F(SlowLinksTest, MessagesThatOvertakeEachOtherAreCountedRight)
+TEST_F(SlowLinksTest, ReorderedMessagesAreCountedCorrectly)
 {
-    EXPECT_LT(refused_in(10s), 0.01);
-    ask_for(hot);
+    EXPECT_LT(refused_share_during(10s), 0.01);
+    set_load(above_limit);
     fleet_.run_for(2s);
-    EXPECT_NEAR(admitted_in(8s), 1, 0.03);
-    EXPECT_LE(over(), 0);
+    EXPECT_NEAR(admitted_rate_during(8s), 1, 0.03);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, AHomeThatIsStoppedHandsItsLevelOver)
+TEST_F(LimitFailuresTest, StoppingOwnerHandsOffItsLevel)
 {
     auto const level = fleet_.level_of("t");
-    ask_for(0);
-    fleet_.begin_stop(home_);
+    set_load(0);
+    fleet_.begin_stop(owner_);
     fleet_.run_for(20ms);
-    EXPECT_NE(fleet_.home_of("t"), home_);
+    EXPECT_NE(fleet_.owner_of("t"), owner_);
     EXPECT_NEAR(fleet_.level_of("t"), level, 0.1 * rate);
-    ask_for(calm);
+    set_load(below_limit);
     fleet_.run_for(300ms);
-    fleet_.kill(home_);
-    EXPECT_LT(refused_in(5s), 0.01);
+    fleet_.kill(owner_);
+    EXPECT_LT(refused_share_during(5s), 0.01);
 }
 
-TEST_F(LimitFailuresTest, AllNodesAreReplacedInTurnWithoutASecondBucket)
+TEST_F(LimitFailuresTest, RollingReplacementAddsNoSecondBucket)
 {
-    ask_for(hot);
+    set_load(above_limit);
     for (int node = 0; node < fleet_.size(); ++node) {
         fleet_.begin_stop(node);
         fleet_.run_for(200ms);
@@ -282,12 +282,12 @@
         fleet_.start(node);
         fleet_.run_for(1s);
     }
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, ACalmTenantHardlySeesThatAllNodesAreReplacedInTurn)
+TEST_F(LimitFailuresTest, RollingReplacementCausesFewRefusalsBelowTheLimit)
 {
-    fleet_.forget_outcomes();
+    fleet_.reset_outcomes();
     for (int node = 0; node < fleet_.size(); ++node) {
         fleet_.begin_stop(node);
         fleet_.run_for(300ms);
@@ -298,83 +298,83 @@
     EXPECT_LT(fleet_.outcome("t").refused_share(), 0.02);
 }
 
-TEST_F(LimitFailuresTest, NodesThatAreAddedTakeTheirTenantsOver)
+TEST_F(LimitFailuresTest, AddedNodesTakeOverTheirTenants)
 {
-    fleet_.forget_outcomes();
+    fleet_.reset_outcomes();
     for (int added = 0; added < 24; ++added) {
         fleet_.add_node();
         fleet_.run_for(500ms);
     }
     EXPECT_LT(fleet_.outcome("t").refused_share(), 0.01);
-    EXPECT_LE(over(), 0);
+    EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, ALimitThatIsLoweredToATenthHoldsFromThenOn)
+TEST_F(LimitFailuresTest, LoweredLimitIsEnforced)
 {
-    ask_for(hot);
+    set_load(above_limit);
     fleet_.run_for(2s);
-    fleet_.set_limits(one_tenant(rate / 10));
+    fleet_.set_limits(limits_of_one_tenant(rate / 10));
     fleet_.run_for(1s);
-    EXPECT_NEAR(admitted_in(8s), 0.1, 0.02);
+    EXPECT_NEAR(admitted_rate_during(8s), 0.1, 0.02);
 }
 
-TEST_F(LimitFailuresTest, ALimitThatIsRaisedIsServed)
+TEST_F(LimitFailuresTest, RaisedLimitIsServed)
 {
-    ask_for(1.8);
+    set_load(1.8);
     fleet_.run_for(2s);
-    fleet_.set_limits(one_tenant(2 * rate));
+    fleet_.set_limits(limits_of_one_tenant(2 * rate));
     fleet_.run_for(1s);
-    EXPECT_LT(refused_in(5s), 0.01);
+    EXPECT_LT(refused_share_during(5s), 0.01);
 }
 
-TEST_F(LimitFailuresTest, ALimitThatIsDroppedIsNoLimitAndOneThatIsAddedHolds)
+TEST_F(LimitFailuresTest, RemovedLimitAdmitsAllAndAddedLimitIsEnforced)
 {
-    ask_for(hot);
+    set_load(above_limit);
     fleet_.set_limits({});
     fleet_.run_for(100ms);
-    EXPECT_EQ(refused_in(3s), 0);
-    fleet_.set_limits(one_tenant());
+    EXPECT_EQ(refused_share_during(3s), 0);
+    fleet_.set_limits(limits_of_one_tenant());
     fleet_.run_for(2s);
-    EXPECT_NEAR(admitted_in(8s), 1, 0.05);
+    EXPECT_NEAR(admitted_rate_during(8s), 1, 0.05);
 }
 
-TEST_F(LimitFailuresTest, ASmallRequestIsNotRefusedForALargeOne)
+TEST_F(LimitFailuresTest, SmallRequestIsNotRefusedBecauseOfALargeOne)
 {
-    ask_for(0);
+    set_load(0);
     fleet_.run_for(2s);
-    auto const node = other_than(home_);
+    auto const node = node_other_than(owner_);
     auto const level = static_cast<std::int64_t>(fleet_.level_of("t"));
-    EXPECT_EQ(fleet_.ask(node, "t", level - 10'000)->verdict, Verdict::Admitted);
-    auto const large = fleet_.ask(node, "t", 100'000);
+    EXPECT_EQ(fleet_.request_and_wait(node, "t", level - 10'000)->verdict, Verdict::Admitted);
+    auto const large = fleet_.request_and_wait(node, "t", 100'000);
     EXPECT_EQ(large->verdict, Verdict::Refused);
     EXPECT_TRUE(large->over_limit);
-    EXPECT_EQ(fleet_.ask(node, "t", 200)->verdict, Verdict::Admitted);
-    // One as large is told the rest of the same wait, a larger one that of its own.
-    auto const larger = fleet_.ask(node, "t", 200'000);
+    EXPECT_EQ(fleet_.request_and_wait(node, "t", 200)->verdict, Verdict::Admitted);
+    // A larger request gets a longer retry delay from the cached refusal.
+    auto const larger = fleet_.request_and_wait(node, "t", 200'000);
     EXPECT_EQ(larger->verdict, Verdict::Refused);
     EXPECT_GT(larger->retry_after, large->retry_after + 300ms);
 }
 
-TEST_F(LimitFailuresTest, WhoComesBackWhenItWasToldIsAdmitted)
+TEST_F(LimitFailuresTest, RetryAfterTheReportedDelayIsAdmitted)
 {
-    ask_for(0);
-    auto const node = other_than(home_);
-    fleet_.ask(node, "t", static_cast<std::int64_t>(fleet_.level_of("t")));
-    auto const refused = fleet_.ask(node, "t", 50'000);
+    set_load(0);
+    auto const node = node_other_than(owner_);
+    fleet_.request_and_wait(node, "t", static_cast<std::int64_t>(fleet_.level_of("t")));
+    auto const refused = fleet_.request_and_wait(node, "t", 50'000);
     ASSERT_EQ(refused->verdict, Verdict::Refused);
     EXPECT_GT(refused->retry_after, Duration(100ms));
     fleet_.run_for(refused->retry_after);
-    EXPECT_EQ(fleet_.ask(node, "t", 50'000)->verdict, Verdict::Admitted);
+    EXPECT_EQ(fleet_.request_and_wait(node, "t", 50'000)->verdict, Verdict::Admitted);
 }
 
-TEST_F(LimitFailuresTest, ARequestLargerThanTheBucketIsServedFromAFullOne)
+TEST_F(LimitFailuresTest, RequestLargerThanTheBucketIsAdmittedByAFullOne)
 {
-    ask_for(0);
+    set_load(0);
     fleet_.run_for(4s);
     auto const depth = static_cast<std::int64_t>(fleet_.level_of("t"));
-    EXPECT_EQ(fleet_.ask(home_, "t", 2 * depth)->verdict, Verdict::Admitted);
+    EXPECT_EQ(fleet_.request_and_wait(owner_, "t", 2 * depth)->verdict, Verdict::Admitted);
     EXPECT_LT(fleet_.level_of("t"), 0);
-    EXPECT_EQ(fleet_.ask(home_, "t", 200)->verdict, Verdict::Refused);
+    EXPECT_EQ(fleet_.request_and_wait(owner_, "t", 200)->verdict, Verdict::Refused);
 }
 
 }
--- a/tests/limits/limit_fleet.cc
+++ b/tests/limits/limit_fleet.cc
@@ -10,11 +10,11 @@
 
 constexpr Duration tick_length = 2ms;
 constexpr Duration report_interval = 100ms;
-// As the gateway takes nodes for lost, and itself for out of touch.
-constexpr Duration named_lately = 1700ms;
-constexpr Duration in_touch_lately = 600ms;
-// A node that has started hears of the others bit by bit within so long.
-constexpr Duration getting_known = 500ms;
+// The gateway's time-outs: a node is dropped from the known nodes, and from the reachable ones.
+constexpr Duration membership_timeout = 1700ms;
+constexpr Duration reachability_timeout = 600ms;
+// A started node discovers the others gradually within this period.
+constexpr Duration discovery_period = 500ms;
 
 }
 
@@ -43,24 +43,24 @@
 void LimitFleet::start(int index)
 {
     auto& node = nodes_[at(index)];
-    auto const boot = static_cast<std::uint64_t>(now_.time_since_epoch().count());
-    node.limiter = make_distributed_limiter(node.id, boot, options_.nodes == 1, test_tolerance, now_);
+    auto const incarnation = static_cast<std::uint64_t>(now_.time_since_epoch().count());
+    node.limiter = make_distributed_limiter(node.id, incarnation, options_.nodes == 1, test_tolerance, now_);
     node.limiter->set_limits(now_, limits_);
     node.stopping = false;
     node.started = now_;
-    node.asleep_until = now_;
-    node.heard.clear();
-    node.waiting.clear();
+    node.suspended_until = now_;
+    node.last_reports.clear();
+    node.inbox.clear();
 }
 
 void LimitFleet::begin_stop(int index)
 {
     nodes_[at(index)].stopping = true;
     nodes_[at(index)].limiter->begin_stop(now_);
-    drain(index);
+    flush_output(index);
 }
 
-void LimitFleet::cut(std::function<int(int)> const& side_of)
+void LimitFleet::partition(std::function<int(int)> const& side_of)
 {
     for (int node = 0; node < size(); ++node)
         sides_[at(node)] = side_of(node);
@@ -68,14 +68,14 @@
 
 void LimitFleet::heal()
 {
-    cut([](int) { return 0; });
-    cut_links_.clear();
+    partition([](int) { return 0; });
+    blocked_links_.clear();
 }
 
-void LimitFleet::set_loss(double lost, double doubled)
+void LimitFleet::set_loss(double loss, double duplication)
 {
-    options_.lost = lost;
-    options_.doubled = doubled;
+    options_.loss = loss;
+    options_.duplication = duplication;
 }
 
 void LimitFleet::set_limits(std::map<std::string, TenantLimit> const& limits)
@@ -89,44 +89,46 @@
     }
 }
 
-bool LimitFleet::linked(int from, int to) const
+bool LimitFleet::is_connected(int from, int to) const
 {
-    return sides_[at(from)] == sides_[at(to)] && !cut_links_.contains({ from, to });
+    return sides_[at(from)] == sides_[at(to)] && !blocked_links_.contains({ from, to });
 }
 
-// What the gateway's reports tell: who is there, and how many of them it is in touch with.
-void LimitFleet::hear(int index)
+// Simulates the gateway's reports: updates the known nodes and the number of reachable ones.
+void LimitFleet::update_membership(int index)
 {
     auto& node = nodes_[at(index)];
-    node.heard.resize(nodes_.size());
-    auto const is_new = now_ - node.started < getting_known;
+    node.last_reports.resize(nodes_.size());
+    auto const is_new = now_ - node.started < discovery_period;
     std::vector<LimiterNode> known;
     int reach = 1;
     for (int other = 0; other < size(); ++other) {
         auto const& sender = nodes_[at(other)];
         if (other == index)
             continue;
-        if (awake(sender) && linked(other, index) && (!is_new || random_.Chance(0.4)))
-            node.heard[at(other)] = now_;
-        if (!cut_links_.empty() && !is_new)
-            node.heard[at(other)] = std::max(node.heard[at(other)], heard_by_others(index, other));
-        auto const age = now_ - node.heard[at(other)];
-        if (age <= named_lately && !sender.stopping)
+        if (is_running(sender) && is_connected(other, index) && (!is_new || random_.Chance(0.4)))
+            node.last_reports[at(other)] = now_;
+        if (!blocked_links_.empty() && !is_new)
+            node.last_reports[at(other)] =
+                std::max(node.last_reports[at(other)], last_report_through_others(index, other));
+        auto const age = now_ - node.last_reports[at(other)];
+        if (age <= membership_timeout && !sender.stopping)
             known.push_back(sender.id);
-        reach += age <= in_touch_lately ? 1 : 0;
+        reach += age <= reachability_timeout ? 1 : 0;
     }
-    node.limiter->set_reachable_nodes(now_, { reach, in_touch_lately });
+    node.limiter->set_reachable_nodes(now_, { reach, reachability_timeout });
     node.limiter->set_nodes(now_, known);
 }
 
-// Nodes name each other: one is known too that only others hear.
-Time LimitFleet::heard_by_others(int index, int node) const
+// Reports name other nodes, so a node that only others can hear is known as well.
+Time LimitFleet::last_report_through_others(int index, int node) const
 {
     Time last {};
     for (int other = 0; other < size(); ++other) {
-        auto const& heard = nodes_[at(other)].heard;
-        if (other != index && awake(nodes_[at(other)]) && linked(other, index) && heard.size() > at(node))
-            last = std::max(last, heard[at(node)]);
+        auto const& last_reports = nodes_[at(other)].last_reports;
+        if (other != index && is_running(nodes_[at(other)]) && is_connected(other, index)
+            && last_reports.size() > at(node))
+            last = std::max(last, last_reports[at(node)]);
     }
     return last;
 }
@@ -137,26 +139,26 @@
         auto const delivery = network_.top();
         network_.pop();
         auto& node = nodes_[at(delivery.to)];
-        if (node.limiter && !awake(node))
-            node.waiting.push_back(delivery.message);
+        if (node.limiter && !is_running(node))
+            node.inbox.push_back(delivery.message);
         else if (node.limiter)
             node.limiter->on_message(now_, delivery.message);
     }
 }
 
-void LimitFleet::drain(int index)
+void LimitFleet::flush_output(int index)
 {
     auto output = nodes_[at(index)].limiter->take_output();
     for (auto const& decided : output.decisions)
-        conclude(decided.request, decided.decision);
+        record_decision(decided.request, decided.decision);
     for (auto const& [address, message] : output.messages) {
         auto const to = std::stoi(address);
-        if (!linked(index, to))
+        if (!is_connected(index, to))
             continue;
-        auto const copies = random_.Chance(options_.lost) ? 0 : random_.Chance(options_.doubled) ? 2 : 1;
+        auto const copies = random_.Chance(options_.loss) ? 0 : random_.Chance(options_.duplication) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
-            auto const way = 200us + random_.DurationBelow(options_.longest_way);
-            network_.push({ now_ + way, ++last_number_, to, message });
+            auto const delay = 200us + random_.DurationBelow(options_.max_delay);
+            network_.push({ now_ + delay, ++last_number_, to, message });
         }
     }
 }
@@ -165,34 +167,34 @@
 {
     now_ += tick_length;
     deliver();
-    auto const turn = now_.time_since_epoch() / tick_length;
+    auto const tick_number = now_.time_since_epoch() / tick_length;
     for (int index = 0; index < size(); ++index) {
         auto& node = nodes_[at(index)];
-        if (!awake(node))
+        if (!is_running(node))
             continue;
-        for (auto const& message : std::exchange(node.waiting, {}))
+        for (auto const& message : std::exchange(node.inbox, {}))
             node.limiter->on_message(now_, message);
-        if ((turn + index) % (report_interval / tick_length) == 0)
-            hear(index);
+        if ((tick_number + index) % (report_interval / tick_length) == 0)
+            update_membership(index);
         if (auto const due = node.limiter->next_deadline(); due && *due <= now_)
             node.limiter->step(now_);
-        drain(index);
+        flush_output(index);
     }
     for (auto const& [tenant, demand] : demands_)
-        offer(tenant, demand);
-    while (!over_.empty() && over_.begin()->first <= now_) {
-        auto const number = over_.begin()->second;
-        over_.erase(over_.begin());
+        generate_requests(tenant, demand);
+    while (!completions_.empty() && completions_.begin()->first <= now_) {
+        auto const number = completions_.begin()->second;
+        completions_.erase(completions_.begin());
         auto const request = requests_.extract(number).mapped();
         auto& limiter = nodes_[at(request.node)].limiter;
-        if (!limiter || !awake(nodes_[at(request.node)]))
+        if (!limiter || !is_running(nodes_[at(request.node)]))
             continue;
         auto const is_admitted = request.decision && request.decision->verdict == Verdict::Admitted;
-        if (is_admitted && !random_.Chance(request.demand.given_back)) {
+        if (is_admitted && !random_.Chance(request.demand.refunded_share)) {
             limiter->settle(number);
             continue;
         }
-        limiter->refund(now_, number); // Also for a caller that has left before it was decided.
+        limiter->refund(now_, number); // Also if the client disconnected before the decision.
         if (is_admitted) {
             outcomes_[request.tenant].admitted -= static_cast<double>(request.cost);
             admissions_[request.tenant][*request.admission].cost = 0;
@@ -214,16 +216,16 @@
                                : 20'000 + static_cast<std::int64_t>(random_.Below(37'001));
 }
 
-void LimitFleet::offer(std::string const& tenant, Demand const& demand)
+void LimitFleet::generate_requests(std::string const& tenant, Demand const& demand)
 {
-    constexpr double usual_cost = 9'200; // The mean of `draw_cost`, near enough.
-    auto const mean = demand.cost > 0 ? static_cast<double>(demand.cost) : usual_cost;
+    constexpr double typical_cost = 9'200; // Approximate mean of `draw_cost`.
+    auto const mean = demand.cost > 0 ? static_cast<double>(demand.cost) : typical_cost;
     auto left = demand.units_per_s * ToSeconds(tick_length) / mean;
     for (; left > 0 && random_.Chance(std::min(1.0, left)); left -= 1) {
         auto const node = demand.node >= 0 ? demand.node : static_cast<int>(random_.Below(nodes_.size()));
         auto const& target = nodes_[at(node)];
-        // Callers are sent to nodes that are ready; one that has started knows others by then.
-        auto const is_ready = awake(target) && (options_.nodes == 1 || now_ - target.started >= getting_known);
+        // Clients are routed to ready nodes only, which have discovered other nodes by then.
+        auto const is_ready = is_running(target) && (options_.nodes == 1 || now_ - target.started >= discovery_period);
         if (is_ready && !target.stopping)
             send_request(node, tenant, demand, demand.cost > 0 ? demand.cost : draw_cost());
     }
@@ -238,14 +240,14 @@
     outcomes_[tenant].offered += static_cast<double>(cost);
     auto const decision = nodes_[at(node)].limiter->admit(now_, number, tenant, cost);
     if (decision.verdict != Verdict::Pending)
-        conclude(number, decision);
-    drain(node);
-    auto const leaves = random_.Chance(demand.leaving);
-    over_.emplace(now_ + (leaves ? random_.DurationBelow(20ms) : run_time + decision_time), number);
+        record_decision(number, decision);
+    flush_output(node);
+    auto const disconnects = random_.Chance(demand.disconnecting_share);
+    completions_.emplace(now_ + (disconnects ? random_.DurationBelow(20ms) : run_time + decision_time), number);
     return number;
 }
 
-void LimitFleet::conclude(std::uint64_t number, Decision const& decision)
+void LimitFleet::record_decision(std::uint64_t number, Decision const& decision)
 {
     auto const found = requests_.find(number);
     if (found == requests_.end())
@@ -264,7 +266,8 @@
     admissions.push_back({ now_, request.cost });
 }
 
-std::optional<Decision> LimitFleet::ask(int node, std::string const& tenant, std::int64_t cost, Duration wait)
+std::optional<Decision> LimitFleet::request_and_wait(
+    int node, std::string const& tenant, std::int64_t cost, Duration wait)
 {
     auto const number = send_request(node, tenant, {}, cost);
     for (auto const end = now_ + wait; now_ < end && !requests_.at(number).decision;)
@@ -272,7 +275,7 @@
     return requests_.at(number).decision;
 }
 
-int LimitFleet::home_of(std::string const& tenant) const
+int LimitFleet::owner_of(std::string const& tenant) const
 {
     for (int node = 0; node < size(); ++node) {
         if (!is_up(node))
@@ -297,30 +300,30 @@
     return level;
 }
 
-void LimitFleet::forget_outcomes()
+void LimitFleet::reset_outcomes()
 {
     for (auto& [tenant, outcome] : outcomes_)
         outcome = {};
 }
 
-double LimitFleet::most_over(std::string const& tenant, TenantLimit const& limit) const
+double LimitFleet::largest_excess(std::string const& tenant, TenantLimit const& limit) const
 {
     auto const per_window = static_cast<double>(limit.rate_per_s) * ToSeconds(test_tolerance.window);
     auto const allowed = (per_window + static_cast<double>(limit.burst)) * (1 + test_tolerance.overage)
         + static_cast<double>(test_tolerance.slack);
-    double most = -allowed;
+    double largest = -allowed;
     auto const found = admissions_.find(tenant);
     if (found == admissions_.end())
-        return most;
-    double inside = 0;
+        return largest;
+    double in_window = 0;
     auto first = found->second.begin();
     for (auto const& admission : found->second) {
-        inside += static_cast<double>(admission.cost);
+        in_window += static_cast<double>(admission.cost);
         for (; first->at <= admission.at - test_tolerance.window; ++first)
-            inside -= static_cast<double>(first->cost);
-        most = std::max(most, inside - allowed);
+            in_window -= static_cast<double>(first->cost);
+        largest = std::max(largest, in_window - allowed);
     }
-    return most;
+    return largest;
 }
 
 }
--- a/tests/limits/limit_fleet.h
+++ b/tests/limits/limit_fleet.h
@@ -1,4 +1,5 @@
-// A fleet of limiters on virtual time, with a network that delays, loses, doubles, reorders and cuts.
+// Simulates a fleet of limiters on virtual time. The network delays, drops, duplicates and reorders messages and can be
+// partitioned.
 #pragma once
 
 #include <cstdint>
@@ -17,24 +18,24 @@
 
 namespace saltquay::limits {
 
-// The tolerance that every test's bound is checked against.
+// The tolerance that the tests check admissions against.
 inline constexpr LimitTolerance test_tolerance { 8s, 0.1, 120'000 };
 
 struct FleetOptions {
     int nodes = 12;
     std::uint64_t seed = 1;
-    double lost = 0;
-    double doubled = 0;
-    Duration longest_way = 3ms; // Shorter ways are as likely: messages overtake each other.
+    double loss = 0;
+    double duplication = 0;
+    Duration max_delay = 3ms; // Delays are uniformly distributed, so messages are reordered.
 };
 
-// What callers of one tenant send.
+// The load of one tenant's clients.
 struct Demand {
     double units_per_s = 0;
-    int node = -1;         // The node that they all come to; -1: any.
-    double given_back = 0; // This share of what is admitted turns out not to have run.
-    double leaving = 0;    // This share of callers is gone before an answer.
-    std::int64_t cost = 0; // Of each request; 0: mostly about 9,200, 200 to 57,000.
+    int node = -1;                  // The node that receives all requests; -1: any node.
+    double refunded_share = 0;      // Share of admitted requests that are refunded.
+    double disconnecting_share = 0; // Share of clients that disconnect within 20 ms.
+    std::int64_t cost = 0;          // Cost of each request; 0: random, 200 to 57,000, mostly about 9,200.
 };
 
 struct Outcome {
@@ -49,44 +50,45 @@
 public:
     LimitFleet(FleetOptions const&, std::map<std::string, TenantLimit> limits);
 
-    void demand(std::string const& tenant, Demand const& demand) { demands_[tenant] = demand; }
+    void set_demand(std::string const& tenant, Demand const& demand) { demands_[tenant] = demand; }
     void run_for(Duration);
 
     void kill(int node) { nodes_[at(node)].limiter.reset(); }
     void start(int node);
     int add_node();
-    // The node's process stands still; what is sent to it waits.
-    void suspend(int node, Duration span) { nodes_[at(node)].asleep_until = now_ + span; }
+    // Pauses the node's process; messages to it are queued.
+    void suspend(int node, Duration span) { nodes_[at(node)].suspended_until = now_ + span; }
     void begin_stop(int node);
-    // Nodes of different sides do not reach each other.
-    void cut(std::function<int(int)> const& side_of);
-    void cut_link(int from, int to) { cut_links_.insert({ from, to }); }
+    // Partitions the network: nodes with different `side_of` cannot reach each other.
+    void partition(std::function<int(int)> const& side_of);
+    void block_link(int from, int to) { blocked_links_.insert({ from, to }); }
     void heal();
-    void set_loss(double lost, double doubled);
+    void set_loss(double loss, double duplication);
     void set_limits(std::map<std::string, TenantLimit> const&);
 
     Time now() const { return now_; }
     int size() const { return static_cast<int>(nodes_.size()); }
     bool is_up(int node) const { return nodes_[at(node)].limiter != nullptr; }
-    // The first node that holds the tenant's bucket; -1: none.
-    int home_of(std::string const& tenant) const;
+    // The first node that owns the tenant; -1: none.
+    int owner_of(std::string const& tenant) const;
     double level_of(std::string const& tenant) const;
     Outcome const& outcome(std::string const& tenant) const { return outcomes_.at(tenant); }
-    void forget_outcomes();
-    // By how many units the busiest window passed what the tolerance allows of the limit; below 0: it holds.
-    double most_over(std::string const& tenant, TenantLimit const&) const;
-    // Asks by hand.
-    std::optional<Decision> ask(int node, std::string const& tenant, std::int64_t cost, Duration wait = 400ms);
+    void reset_outcomes();
+    // Units by which admissions in the busiest window exceeded the tolerated amount; negative if they did not.
+    double largest_excess(std::string const& tenant, TenantLimit const&) const;
+    // Sends one request and runs until it is decided or `wait` has passed.
+    std::optional<Decision> request_and_wait(
+        int node, std::string const& tenant, std::int64_t cost, Duration wait = 400ms);
 
 private:
     struct Node {
         LimiterNode id;
-        std::unique_ptr<Limiter> limiter; // nullptr: killed, or not started yet.
+        std::unique_ptr<Limiter> limiter; // nullptr: killed or not started.
         bool stopping = false;
         Time started {};
-        Time asleep_until {};
-        std::vector<Time> heard; // By node.
-        std::vector<LimitMessage> waiting;
+        Time suspended_until {};
+        std::vector<Time> last_reports; // Last report from each node.
+        std::vector<LimitMessage> inbox;
     };
     struct Delivery {
         Time at {};
@@ -109,16 +111,16 @@
     };
 
     static std::size_t at(int index) { return static_cast<std::size_t>(index); }
-    bool awake(Node const& node) const { return node.limiter != nullptr && node.asleep_until <= now_; }
-    bool linked(int from, int to) const;
+    bool is_running(Node const& node) const { return node.limiter != nullptr && node.suspended_until <= now_; }
+    bool is_connected(int from, int to) const;
     void tick();
-    void hear(int node);
-    Time heard_by_others(int index, int node) const;
+    void update_membership(int node);
+    Time last_report_through_others(int index, int node) const;
     void deliver();
-    void drain(int node);
-    void offer(std::string const& tenant, Demand const&);
+    void flush_output(int node);
+    void generate_requests(std::string const& tenant, Demand const&);
     std::uint64_t send_request(int node, std::string const& tenant, Demand const&, std::int64_t cost);
-    void conclude(std::uint64_t request, Decision const&);
+    void record_decision(std::uint64_t request, Decision const&);
     std::int64_t draw_cost();
 
     FleetOptions options_;
@@ -127,12 +129,12 @@
     Time now_ { 100s };
     std::vector<Node> nodes_;
     std::vector<int> sides_;
-    std::set<std::pair<int, int>> cut_links_;
+    std::set<std::pair<int, int>> blocked_links_;
     std::priority_queue<Delivery> network_;
     std::uint64_t last_number_ = 0;
     std::map<std::string, Demand> demands_;
     std::map<std::uint64_t, Request> requests_;
-    std::multimap<Time, std::uint64_t> over_; // When requests end.
+    std::multimap<Time, std::uint64_t> completions_; // Requests by the time that they end.
     std::map<std::string, std::vector<Admission>> admissions_;
     std::map<std::string, Outcome> outcomes_;
 };
