--- a/include/saltquay/admission/concurrency_window.h
+++ b/include/saltquay/admission/concurrency_window.h
@@ -1,12 +1,10 @@
-// How many prompts a node may have under way at a service's engines.
+// Limits the number of prompts that a node has in flight at a service's engines (AIMD concurrency control).
 //
-// The engines are shared by many nodes that know each other's work late. The
-// nodes blend_depth on a depth, the prompts under way for each engine, and divide it
-// by what is asked of each. A node moves the depth by what it observes: while
-// its prompts come back within their targets on average and its window is in
-// use, deeper; while they take longer, shallower by a share, at most once in a
-// target's time. It reports its depth to its peers and follows their mean, so
-// that no node keeps a wide window while others are pressed to nothing.
+// Many nodes share the engines and learn of each other's load with a delay. The nodes converge on a depth, the number
+// of prompts in flight per engine, and each node gets a share of the total in proportion to its demand. A node
+// increases the depth additively while its prompts meet their latency targets on average and its window is in use, and
+// decreases it multiplicatively, at most once per target duration, while they do not. It reports its depth to its peers
+// and moves towards their mean, so that no node keeps a large window while others are starved.
 #pragma once
 
 #include <algorithm>
@@ -16,14 +14,14 @@
 namespace saltquay::admission {
 
 struct ConcurrencyWindowParameters {
-    double initial_depth = 8; // Prompts under way at an engine, before anything was observed.
-    double least_depth = 1;
+    double initial_depth = 8; // Prompts in flight per engine before any measurement.
+    double min_depth = 1;
     double max_depth = 32;
-    double widening = 1;             // Added to the depth by each full window of prompts within their targets.
-    double sharpest_narrowing = 0.8; // Least factor of one narrowing.
-    double smoothing = 0.15;         // Of the average of time over target.
-    double borrowed_share = 0.6;     // Up to this fill of all engines a node may go beyond its share.
-    double agreement = 0.15;         // How far one report of the peers moves the depth to their mean.
+    double depth_increase = 1;        // Added to the depth per window of prompts that meet their targets.
+    double min_decrease_factor = 0.8; // Smallest factor of a single decrease.
+    double smoothing = 0.15;          // Weight of a new sample in the moving averages.
+    double borrowing_fill = 0.6; // A node may exceed its share while all engines together are filled below this share.
+    double peer_blend_weight = 0.15; // Weight of the peers' mean depth in each update from their reports.
 };
 
 class ConcurrencyWindow {
@@ -34,58 +32,58 @@
     {
     }
 
-    // The service's engines, this node's share of what is asked for, and what the
-    // peers have under way there by their last reports.
-    void set_capacity(int engines, double share, int peers_under_way)
+    // Sets the number of engines of the service, this node's share of the demand, and the number of prompts that peers
+    // had in flight there according to their last reports.
+    void set_capacity(int engines, double share, int peers_in_flight)
     {
-        fleet_ = engines;
+        engines_ = engines;
         share_ = share;
-        peers_under_way_ = peers_under_way;
+        peers_in_flight_ = peers_in_flight;
     }
-    // The mean depth of the peers that told one.
-    void blend_depth(double peers_depth) { depth_ += parameters_.agreement * (peers_depth - depth_); }
+    // Moves the depth towards the mean depth of the peers that reported one.
+    void blend_depth(double peers_depth) { depth_ += parameters_.peer_blend_weight * (peers_depth - depth_); }
 
-    // Whether one more prompt may be sent; `share` of the window, for what may wait longer.
+    // Whether one more prompt may be sent. A `share` below 1 restricts less urgent prompts to that share of the window.
     bool has_room(double share = 1) const
     {
-        return under_way_ == 0 || under_way_ + 1 <= share * limit() || is_fleet_free(share);
+        return in_flight_ == 0 || in_flight_ + 1 <= share * limit() || has_spare_capacity(share);
     }
-    void record_dispatch() { ++under_way_; }
-    // A prompt is over, whatever its outcome.
-    void record_completion() { --under_way_; }
-    // A prompt came back after `took`; `target`: what it should have taken at most.
+    void record_dispatch() { ++in_flight_; }
+    // Records that a prompt ended with any outcome.
+    void record_completion() { --in_flight_; }
+    // Records that a prompt was answered after `took`; `target`: its latency target.
     void record_latency(Time now, Duration took, Duration target);
-    // An engine refused a prompt for lack of room.
+    // Records that an engine rejected a prompt because it was full.
     void record_rejection(Time now, Duration target);
 
-    double limit() const { return std::max(1.0, depth_ * share_ * fleet_); }
+    double limit() const { return std::max(1.0, depth_ * share_ * engines_); }
     double depth() const { return depth_; }
-    int under_way() const { return under_way_; }
-    // Average of the time that prompts took.
-    Duration mean_latency() const { return FromSeconds(mean_seconds_); }
-    // Average of the time between two places that become free, while the window is full.
-    Duration mean_slot_interval() const { return FromSeconds(mean_seconds_ / limit()); }
-    // Average of the time that prompts took over their targets.
-    double ratio() const { return ratio_; }
+    int under_way() const { return in_flight_; }
+    // Moving average of the latency.
+    Duration mean_latency() const { return FromSeconds(mean_latency_s_); }
+    // Average interval at which slots become free while the window is full.
+    Duration mean_slot_interval() const { return FromSeconds(mean_latency_s_ / limit()); }
+    // Moving average of the latency divided by its target.
+    double ratio() const { return latency_ratio_; }
 
 private:
-    void narrow(Time now, Duration pause, double factor);
-    // Whether so much is free that a node may go beyond its share; reports are
-    // late, so a part is left for what others send at the same time.
-    bool is_fleet_free(double share) const
+    void decrease_depth(Time now, Duration min_interval, double factor);
+    // Whether enough capacity is unused to exceed this node's share. Reports are delayed, so some capacity is reserved
+    // for prompts that other nodes send at the same time.
+    bool has_spare_capacity(double share) const
     {
-        return under_way_ + peers_under_way_ + 1 <= share * parameters_.borrowed_share * depth_ * fleet_;
+        return in_flight_ + peers_in_flight_ + 1 <= share * parameters_.borrowing_fill * depth_ * engines_;
     }
 
     ConcurrencyWindowParameters parameters_;
     double depth_ = 1;
     double share_ = 1;
-    int fleet_ = 1;
-    int peers_under_way_ = 0;
-    double ratio_ = 0;
-    double mean_seconds_ = 0;
-    int under_way_ = 0;
-    Time narrowed_at_ {};
+    int engines_ = 1;
+    int peers_in_flight_ = 0;
+    double latency_ratio_ = 0;
+    double mean_latency_s_ = 0;
+    int in_flight_ = 0;
+    Time decreased_at_ {};
 };
 
 }
--- a/src/admission/concurrency_window.cc
+++ b/src/admission/concurrency_window.cc
@@ -7,39 +7,40 @@
 
 namespace {
 
-// Refusals narrow the window so many times as often as slow prompts: each may cost a retry.
-constexpr int refusals_in_target = 4;
+// Rejections may decrease the depth this many times per target duration, slow prompts only once: each rejection may
+// cost a retry.
+constexpr int rejection_decreases_per_target = 4;
 
 }
 
 void ConcurrencyWindow::record_latency(Time now, Duration took, Duration target)
 {
-    // One prompt that took very long says no more than that the engines are busy.
-    constexpr double largest_ratio = 4;
-    auto const ratio = std::min(largest_ratio, ToSeconds(took) / ToSeconds(target));
-    mean_seconds_ += parameters_.smoothing * (ToSeconds(took) - mean_seconds_);
-    ratio_ += parameters_.smoothing * (ratio - ratio_);
-    if (ratio_ <= 1) {
-        // What was not used says nothing of a deeper window.
-        constexpr double used_share = 0.75;
-        if (under_way_ + 1 >= used_share * limit())
-            depth_ = std::min(parameters_.max_depth, depth_ + parameters_.widening / limit());
+    // Limits the influence of outliers: one very slow prompt only shows that the engines are busy.
+    constexpr double max_ratio = 4;
+    auto const ratio = std::min(max_ratio, ToSeconds(took) / ToSeconds(target));
+    mean_latency_s_ += parameters_.smoothing * (ToSeconds(took) - mean_latency_s_);
+    latency_ratio_ += parameters_.smoothing * (ratio - latency_ratio_);
+    if (latency_ratio_ <= 1) {
+        // Good latency in an unused window is no evidence that a larger one would work.
+        constexpr double min_utilization = 0.75;
+        if (in_flight_ + 1 >= min_utilization * limit())
+            depth_ = std::min(parameters_.max_depth, depth_ + parameters_.depth_increase / limit());
         return;
     }
-    narrow(now, target, std::max(parameters_.sharpest_narrowing, std::sqrt(1 / ratio_)));
+    decrease_depth(now, target, std::max(parameters_.min_decrease_factor, std::sqrt(1 / latency_ratio_)));
 }
 
 void ConcurrencyWindow::record_rejection(Time now, Duration target)
 {
-    narrow(now, target / refusals_in_target, parameters_.sharpest_narrowing);
+    decrease_depth(now, target / rejection_decreases_per_target, parameters_.min_decrease_factor);
 }
 
-void ConcurrencyWindow::narrow(Time now, Duration pause, double factor)
+void ConcurrencyWindow::decrease_depth(Time now, Duration min_interval, double factor)
 {
-    if (now < narrowed_at_ + pause)
+    if (now < decreased_at_ + min_interval)
         return;
-    narrowed_at_ = now;
-    depth_ = std::max(parameters_.least_depth, depth_ * factor);
+    decreased_at_ = now;
+    depth_ = std::max(parameters_.min_depth, depth_ * factor);
 }
 
 }
--- a/tests/admission/concurrency_window_test.cc
+++ b/tests/admission/concurrency_window_test.cc
@@ -1,4 +1,4 @@
-// How the window follows what a node observes of the engines.
+// Adjustment of the window to observed latencies, rejections and peers.
 #include "saltquay/admission/concurrency_window.h"
 
 #include <gtest/gtest.h>
@@ -30,14 +30,14 @@
     Time now_ { 1s };
 };
 
-TEST_F(ConcurrencyWindowTest, SlowPromptsNarrowItDownToOnePromptAnEngine)
+TEST_F(ConcurrencyWindowTest, SlowPromptsDecreaseTheDepthToOne)
 {
     read(200, 400ms);
     EXPECT_EQ(window_.depth(), 1);
     EXPECT_EQ(window_.limit(), 3);
 }
 
-TEST_F(ConcurrencyWindowTest, QuickPromptsWidenItOnlyWhileItIsUsed)
+TEST_F(ConcurrencyWindowTest, FastPromptsIncreaseTheDepthOnlyWhileTheWindowIsUsed)
 {
     read(50, 20ms);
     EXPECT_EQ(window_.depth(), ConcurrencyWindowParameters {}.initial_depth);
@@ -46,7 +46,7 @@
     EXPECT_GT(window_.depth(), ConcurrencyWindowParameters {}.initial_depth);
 }
 
-TEST_F(ConcurrencyWindowTest, OnePromptMayAlwaysBeUnderWay)
+TEST_F(ConcurrencyWindowTest, OnePromptMayAlwaysBeInFlight)
 {
     window_.set_capacity(0, 0, 0);
     EXPECT_TRUE(window_.has_room());
@@ -57,7 +57,7 @@
     EXPECT_TRUE(window_.has_room());
 }
 
-TEST_F(ConcurrencyWindowTest, ANodeGoesBeyondItsShareWhileTheOthersLeaveRoom)
+TEST_F(ConcurrencyWindowTest, ExceedsItsShareWhilePeersLeaveCapacityUnused)
 {
     window_.set_capacity(6, 0.1, 0);
     fill();
@@ -66,7 +66,7 @@
     EXPECT_FALSE(window_.has_room());
 }
 
-TEST_F(ConcurrencyWindowTest, RefusalsNarrowItAndThePeersMeanBringsItBack)
+TEST_F(ConcurrencyWindowTest, RejectionsDecreaseTheDepthAndThePeersMeanRestoresIt)
 {
     for (auto i = 0; i < 30; ++i)
         window_.record_rejection(now_ += target, target);
