--- a/src/admission/prefill_time_model.cc
+++ b/src/admission/prefill_time_model.cc
@@ -7,52 +7,52 @@
 
 namespace {
 
-constexpr double microseconds_in_millisecond = 1000;
-constexpr double least_fixed_ms = 0.1;
-constexpr double halving_readings = 4; // After so many the first step is half as large.
+constexpr double microseconds_per_millisecond = 1000;
+constexpr double min_overhead_ms = 0.1;
+constexpr double step_halving_samples = 4; // The initial step is halved after this many samples.
 
 }
 
-double PrefillTimeModel::step(int readings) const
+double PrefillTimeModel::step_size(int samples) const
 {
-    return std::max(parameters_.last_step, parameters_.first_step / (1 + readings / halving_readings));
+    return std::max(parameters_.min_step, parameters_.initial_step / (1 + samples / step_halving_samples));
 }
 
 void PrefillTimeModel::note(std::int64_t tokens, Duration time)
 {
     if (tokens <= 0 || time <= 0s)
         return;
-    auto const milliseconds = static_cast<double>(time.count()) / microseconds_in_millisecond;
+    auto const milliseconds = static_cast<double>(time.count()) / microseconds_per_millisecond;
     constexpr double error_step = 0.05;
     relative_error_ += error_step * (std::abs(predict_ms(tokens) - milliseconds) / milliseconds - relative_error_);
-    auto const typical = static_cast<double>(tokens) / milliseconds;
-    // The first guess may be wrong several times over.
+    auto const sample_rate = static_cast<double>(tokens) / milliseconds;
+    // Starts with large steps, since the initial rate may be wrong by several times.
     auto const change =
-        std::max(parameters_.typical_step, parameters_.first_step / (1 + typical_readings_++ / halving_readings));
-    typical_rate_ *= typical > typical_rate_ ? 1 + change : 1 / (1 + change);
-    if (tokens <= parameters_.short_tokens)
-        note_fixed(milliseconds);
-    if (tokens >= parameters_.long_tokens && milliseconds > fixed_ms_)
-        note_rate(static_cast<double>(tokens) / (milliseconds - fixed_ms_));
+        std::max(parameters_.median_step, parameters_.initial_step / (1 + median_samples_++ / step_halving_samples));
+    median_rate_ *= sample_rate > median_rate_ ? 1 + change : 1 / (1 + change);
+    if (tokens <= parameters_.max_overhead_sample_tokens)
+        update_overhead(milliseconds);
+    if (tokens >= parameters_.min_rate_sample_tokens && milliseconds > fixed_overhead_ms_)
+        update_rate(static_cast<double>(tokens) / (milliseconds - fixed_overhead_ms_));
 }
 
-// Steps up and down in proportions that balance at the quantile.
-void PrefillTimeModel::note_fixed(double milliseconds)
+// Stochastic quantile estimate: steps up and down are weighted to balance at the quantile.
+void PrefillTimeModel::update_overhead(double milliseconds)
 {
-    if (fixed_readings_ == 0)
-        fixed_ms_ = milliseconds;
-    auto const up = parameters_.fixed_quantile;
-    auto const change = step(fixed_readings_++);
-    fixed_ms_ *= milliseconds > fixed_ms_ ? 1 + change * up : 1 - change * (1 - up);
-    fixed_ms_ = std::max(fixed_ms_, least_fixed_ms);
+    if (overhead_samples_ == 0)
+        fixed_overhead_ms_ = milliseconds;
+    auto const up = parameters_.overhead_quantile;
+    auto const change = step_size(overhead_samples_++);
+    fixed_overhead_ms_ *= milliseconds > fixed_overhead_ms_ ? 1 + change * up : 1 - change * (1 - up);
+    fixed_overhead_ms_ = std::max(fixed_overhead_ms_, min_overhead_ms);
 }
 
-void PrefillTimeModel::note_rate(double rate)
+void PrefillTimeModel::update_rate(double rate)
 {
-    if (rate_readings_ == 0)
+    if (rate_samples_ == 0)
         rate_ = rate;
     auto const up = parameters_.rate_quantile;
-    auto const change = step(rate_readings_++);
+    auto const change = step_size(rate_samples_++);
     rate_ *= rate > rate_ ? 1 + change * up : 1 - change * (1 - up);
 }
 
--- a/tests/admission/prefill_time_model_test.cc
+++ b/tests/admission/prefill_time_model_test.cc
@@ -1,4 +1,4 @@
-// What the model learns of engines that read at a known pace.
+// Estimates for engines with a known prefill rate.
 #include "saltquay/admission/prefill_time_model.h"
 
 #include <gtest/gtest.h>
@@ -9,15 +9,15 @@
 
 namespace {
 
-TEST(PrefillTimeModelTest, AnswersWithTheFirstRateUntilItHasLearned)
+TEST(PrefillTimeModelTest, UsesTheInitialRateBeforeTheFirstSample)
 {
     PrefillTimeModel const model { PrefillTimeModelParameters {} };
     EXPECT_FALSE(model.learned());
     EXPECT_DOUBLE_EQ(model.predict_ms(3000), 100);
 }
 
-// Half of the readings were slowed by parts that had given way.
-TEST(PrefillTimeModelTest, LearnsFixedPartAndRateAmongReadingsThatWereSlowed)
+// Half of the prefills are slower because cached parts had been evicted.
+TEST(PrefillTimeModelTest, EstimatesOverheadAndRateDespiteSlowedSamples)
 {
     PrefillTimeModel model { PrefillTimeModelParameters {} };
     Random random(1);
@@ -32,7 +32,7 @@
     EXPECT_LT(model.median_rate(), model.rate());
 }
 
-TEST(PrefillTimeModelTest, ReadingsWithoutSizeOrTimeTellNothing)
+TEST(PrefillTimeModelTest, IgnoresSamplesWithoutSizeOrTime)
 {
     PrefillTimeModel model { PrefillTimeModelParameters {} };
     model.note(0, 5ms);
