--- a/include/saltquay/admission/prefill_queue.h
+++ b/include/saltquay/admission/prefill_queue.h
@@ -1,10 +1,8 @@
-// The order in which prompts that wait at this node go to the engines.
+// Queues of prompts that wait at this node for prefill.
 //
-// Engines take in many prompts at once and read them side by side, so what is
-// sent to a full engine delays everything that is there. The node therefore
-// bounds the reading under way (see reading_limit.h) and keeps the rest in an
-// order of its own. Orders differ in what they do when more is asked for than
-// can be read; each is a deterministic container without clock or threads.
+// Engines accept many prompts and prefill them concurrently, so a prompt sent to a full engine delays all others there.
+// The node therefore limits the prefills in flight (see concurrency_window.h) and queues the rest. Queue policies
+// differ in their choice under overload. Each queue is a deterministic container without a clock or threads.
 #pragma once
 
 #include <cstddef>
@@ -21,17 +19,17 @@
 struct QueuedPrompt {
     PromptId id = 0;
     Time arrived {};
-    Time prefill_deadline {};   // Read later than this, its answer misses the objective.
-    Time ends {};               // Nobody wants the answer after this.
-    int route_priority = 5;     // Of its route; 0 is the most urgent.
-    double worth = 1;           // Against the mean of its route.
-    double prefill_cost_ms = 1; // Engine time to read it, in milliseconds.
+    Time prefill_deadline {};   // If its prefill starts later, the response misses its latency objective.
+    Time ends {};               // Deadline of the request.
+    int route_priority = 5;     // 0 is the most urgent.
+    double worth = 1;           // Relative to the mean of its route.
+    double prefill_cost_ms = 1; // Engine time of its prefill.
 };
 
-// What the next prompt would gain.
+// Whether a prompt can still meet its latency objective.
 enum class Lane {
-    InTime, // It can still meet its objective.
-    Late,   // It cannot, but an answer is still wanted.
+    InTime, // It can meet its objective.
+    Late,   // It cannot, but the request has not expired.
 };
 
 struct PrefillCandidate {
@@ -44,23 +42,23 @@
     virtual ~PrefillQueue() = default;
 
     virtual void add(QueuedPrompt const& prompt) = 0;
-    // Does nothing where there is no such prompt.
+    // Does nothing if the prompt is not queued.
     virtual void remove(PromptId id) = 0;
-    // From now on the prompt goes before all that are not committed, in the order of commitment.
+    // Moves the prompt ahead of all that are not committed. Committed prompts keep the order of their commitment.
     virtual void commit(PromptId id) = 0;
     virtual std::size_t committed() const = 0;
-    // The prompts to try next, best first, at most `most` of a lane.
-    virtual std::vector<PrefillCandidate> next(Time now, std::size_t most) = 0;
+    // Returns the prompts to try next, best first, at most `max_per_lane` of each lane; committed ones in addition.
+    virtual std::vector<PrefillCandidate> next(Time now, std::size_t max_per_lane) = 0;
     virtual std::size_t size() const = 0;
 };
 
 enum class QueuePolicy {
-    None,                 // Every prompt is sent at once; a baseline.
-    FirstComeFirstServed, // By arrival; a baseline.
-    ValuePerCost,         // What can meet its objective first, by worth for each millisecond of engine.
+    None,                 // Every prompt is sent immediately; a baseline.
+    FirstComeFirstServed, // In order of arrival; a baseline.
+    ValuePerCost,         // Prompts that can meet their objective first, by value per millisecond of engine time.
 };
 
-// Never null; QueuePolicy::None gives the order of arrival.
+// Never returns null. QueuePolicy::None gives a queue in order of arrival.
 std::unique_ptr<PrefillQueue> make_prefill_queue(QueuePolicy policy);
 
 }
--- a/src/admission/prefill_queue.cc
+++ b/src/admission/prefill_queue.cc
@@ -8,13 +8,13 @@
 
 namespace {
 
-class ArrivalOrder final : public PrefillQueue {
+class ArrivalQueue final : public PrefillQueue {
 public:
     void add(QueuedPrompt const& prompt) override
     {
         remove(prompt.id);
         prompts_[prompt.id] = prompt;
-        order_.insert({ prompt.arrived, prompt.id });
+        by_arrival_.insert({ prompt.arrived, prompt.id });
     }
 
     void remove(PromptId id) override
@@ -22,44 +22,44 @@
         auto const entry = prompts_.find(id);
         if (entry == prompts_.end())
             return;
-        order_.erase({ entry->second.arrived, id });
+        by_arrival_.erase({ entry->second.arrived, id });
         prompts_.erase(entry);
     }
 
-    // It goes first anyway.
+    // Later arrivals cannot overtake a prompt in this queue.
     void commit(PromptId) override { }
     std::size_t committed() const override { return 0; }
 
-    std::vector<PrefillCandidate> next(Time now, std::size_t most) override
+    std::vector<PrefillCandidate> next(Time now, std::size_t max_per_lane) override
     {
-        std::vector<PrefillCandidate> found;
-        for (auto const& [arrived, id] : order_) {
-            if (found.size() == most)
+        std::vector<PrefillCandidate> candidates;
+        for (auto const& [arrived, id] : by_arrival_) {
+            if (candidates.size() == max_per_lane)
                 break;
             auto const in_time = now <= prompts_.at(id).prefill_deadline;
-            found.push_back({ id, in_time ? Lane::InTime : Lane::Late });
+            candidates.push_back({ id, in_time ? Lane::InTime : Lane::Late });
         }
-        return found;
+        return candidates;
     }
 
     std::size_t size() const override { return prompts_.size(); }
 
 private:
     std::map<PromptId, QueuedPrompt> prompts_;
-    std::set<std::pair<Time, PromptId>> order_;
+    std::set<std::pair<Time, PromptId>> by_arrival_;
 };
 
-// What is committed first. Then the more urgent routes; within one, most worth for each millisecond of
-// engine. What misses its objective moves to the late lane, which goes by
-// arrival: a prompt that is dear to read is not passed over for ever.
-class WorthOrder final : public PrefillQueue {
+// Committed prompts come first, then prompts by the priority of their route and, within one priority, by value per
+// millisecond of engine time. Prompts that miss their objective move to the late lane, which is ordered by arrival so
+// that expensive prompts do not starve.
+class ValuePerCostQueue final : public PrefillQueue {
 public:
     void add(QueuedPrompt const& prompt) override
     {
         remove(prompt.id);
         prompts_[prompt.id] = prompt;
         in_time_.insert(rank(prompt));
-        expiry_.insert({ prompt.prefill_deadline, prompt.id });
+        prefill_deadlines_.insert({ prompt.prefill_deadline, prompt.id });
     }
 
     void remove(PromptId id) override
@@ -69,30 +69,30 @@
             return;
         in_time_.erase(rank(entry->second));
         std::erase(committed_, id);
-        expiry_.erase({ entry->second.prefill_deadline, id });
+        prefill_deadlines_.erase({ entry->second.prefill_deadline, id });
         late_.erase({ entry->second.arrived, id });
         prompts_.erase(entry);
     }
 
-    std::vector<PrefillCandidate> next(Time now, std::size_t most) override
+    std::vector<PrefillCandidate> next(Time now, std::size_t max_per_lane) override
     {
-        move_late(now);
-        std::vector<PrefillCandidate> found;
+        move_expired_to_late_lane(now);
+        std::vector<PrefillCandidate> candidates;
         for (auto const id : committed_)
-            found.push_back({ id, Lane::InTime });
-        auto const in_time = found.size() + most;
+            candidates.push_back({ id, Lane::InTime });
+        auto const in_time = candidates.size() + max_per_lane;
         for (auto const& ranked : in_time_) {
-            if (found.size() >= in_time)
+            if (candidates.size() >= in_time)
                 break;
-            found.push_back({ ranked.id, Lane::InTime });
+            candidates.push_back({ ranked.id, Lane::InTime });
         }
-        auto const all = found.size() + most;
+        auto const all = candidates.size() + max_per_lane;
         for (auto const& [arrived, id] : late_) {
-            if (found.size() == all)
+            if (candidates.size() == all)
                 break;
-            found.push_back({ id, Lane::Late });
+            candidates.push_back({ id, Lane::Late });
         }
-        return found;
+        return candidates;
     }
 
     std::size_t size() const override { return prompts_.size(); }
@@ -102,7 +102,7 @@
         auto const entry = prompts_.find(id);
         if (entry == prompts_.end() || in_time_.erase(rank(entry->second)) == 0)
             return;
-        expiry_.erase({ entry->second.prefill_deadline, id });
+        prefill_deadlines_.erase({ entry->second.prefill_deadline, id });
         committed_.push_back(id);
     }
 
@@ -111,7 +111,7 @@
 private:
     struct Rank {
         int route_priority = 0;
-        double cost_of_worth = 0; // Milliseconds for each unit of worth.
+        double cost_per_value = 0; // Milliseconds per unit of value.
         PromptId id = 0;
 
         auto operator<=>(Rank const&) const = default;
@@ -122,20 +122,20 @@
         return { prompt.route_priority, prompt.prefill_cost_ms / prompt.worth, prompt.id };
     }
 
-    void move_late(Time now)
+    void move_expired_to_late_lane(Time now)
     {
-        while (!expiry_.empty() && expiry_.begin()->first < now) {
-            auto const& prompt = prompts_.at(expiry_.begin()->second);
+        while (!prefill_deadlines_.empty() && prefill_deadlines_.begin()->first < now) {
+            auto const& prompt = prompts_.at(prefill_deadlines_.begin()->second);
             in_time_.erase(rank(prompt));
             late_.insert({ prompt.arrived, prompt.id });
-            expiry_.erase(expiry_.begin());
+            prefill_deadlines_.erase(prefill_deadlines_.begin());
         }
     }
 
     std::map<PromptId, QueuedPrompt> prompts_;
     std::vector<PromptId> committed_;
     std::set<Rank> in_time_;
-    std::set<std::pair<Time, PromptId>> expiry_; // Of those in time.
+    std::set<std::pair<Time, PromptId>> prefill_deadlines_; // Deadlines of the prompts that are still in time.
     std::set<std::pair<Time, PromptId>> late_;
 };
 
@@ -144,8 +144,8 @@
 std::unique_ptr<PrefillQueue> make_prefill_queue(QueuePolicy policy)
 {
     if (policy == QueuePolicy::ValuePerCost)
-        return std::make_unique<WorthOrder>();
-    return std::make_unique<ArrivalOrder>();
+        return std::make_unique<ValuePerCostQueue>();
+    return std::make_unique<ArrivalQueue>();
 }
 
 }
--- a/tests/admission/prefill_queue_test.cc
+++ b/tests/admission/prefill_queue_test.cc
@@ -1,4 +1,4 @@
-// Which of the waiting prompts goes next, by each order.
+// Order of prompts under each queue policy.
 #include "saltquay/admission/prefill_queue.h"
 
 #include <set>
@@ -22,28 +22,28 @@
     return prompt;
 }
 
-PromptId first(PrefillQueue& order, Time now) { return order.next(now, 1).at(0).id; }
+PromptId first(PrefillQueue& queue, Time now) { return queue.next(now, 1).at(0).id; }
 
-TEST(WorthOrderTest, CheapPromptsOfTheMostUrgentRouteGoFirst)
+TEST(ValuePerCostQueueTest, CheapPromptsOfTheMostUrgentRouteComeFirst)
 {
-    auto const order = make_prefill_queue(QueuePolicy::ValuePerCost);
-    order->add(prompt(1, 40));
-    order->add(prompt(2, 10));
-    order->add(prompt(3, 1, Time { 10s }, 1));
-    EXPECT_EQ(first(*order, Time { 2s }), 2U);
-    order->remove(2);
-    EXPECT_EQ(first(*order, Time { 2s }), 1U);
-    order->remove(1);
-    EXPECT_EQ(first(*order, Time { 2s }), 3U);
+    auto const queue = make_prefill_queue(QueuePolicy::ValuePerCost);
+    queue->add(prompt(1, 40));
+    queue->add(prompt(2, 10));
+    queue->add(prompt(3, 1, Time { 10s }, 1));
+    EXPECT_EQ(first(*queue, Time { 2s }), 2U);
+    queue->remove(2);
+    EXPECT_EQ(first(*queue, Time { 2s }), 1U);
+    queue->remove(1);
+    EXPECT_EQ(first(*queue, Time { 2s }), 3U);
 }
 
-TEST(WorthOrderTest, WhatMissesItsObjectiveGoesAfterWhatDoesNotByArrival)
+TEST(ValuePerCostQueueTest, PromptsThatMissTheirObjectiveComeLastInOrderOfArrival)
 {
-    auto const order = make_prefill_queue(QueuePolicy::ValuePerCost);
-    order->add(prompt(1, 40, Time { 3s }));
-    order->add(prompt(2, 10, Time { 3s }));
-    order->add(prompt(3, 90));
-    auto const found = order->next(Time { 4s }, 8);
+    auto const queue = make_prefill_queue(QueuePolicy::ValuePerCost);
+    queue->add(prompt(1, 40, Time { 3s }));
+    queue->add(prompt(2, 10, Time { 3s }));
+    queue->add(prompt(3, 90));
+    auto const found = queue->next(Time { 4s }, 8);
     ASSERT_EQ(found.size(), 3U);
     EXPECT_EQ(found[0].id, 3U);
     EXPECT_EQ(found[1].id, 1U);
@@ -51,32 +51,32 @@
     EXPECT_EQ(found[2].id, 2U);
 }
 
-TEST(WorthOrderTest, WhatIsCommittedIsNotOvertaken)
+TEST(ValuePerCostQueueTest, CommittedPromptIsNotOvertaken)
 {
-    auto const order = make_prefill_queue(QueuePolicy::ValuePerCost);
-    order->add(prompt(1, 40, Time { 3s }));
-    order->commit(1);
-    order->add(prompt(2, 10));
-    EXPECT_EQ(first(*order, Time { 2s }), 1U);
-    EXPECT_EQ(first(*order, Time { 4s }), 1U); // Even past its time: it was promised.
-    EXPECT_EQ(order->committed(), 1U);
-    order->remove(1);
-    EXPECT_EQ(order->committed(), 0U);
+    auto const queue = make_prefill_queue(QueuePolicy::ValuePerCost);
+    queue->add(prompt(1, 40, Time { 3s }));
+    queue->commit(1);
+    queue->add(prompt(2, 10));
+    EXPECT_EQ(first(*queue, Time { 2s }), 1U);
+    EXPECT_EQ(first(*queue, Time { 4s }), 1U); // A committed prompt keeps its place after its prefill deadline.
+    EXPECT_EQ(queue->committed(), 1U);
+    queue->remove(1);
+    EXPECT_EQ(queue->committed(), 0U);
 }
 
-TEST(ArrivalOrderTest, GoesByArrivalWhateverThePromptsCost)
+TEST(ArrivalQueueTest, OrdersByArrivalRegardlessOfCost)
 {
-    auto const order = make_prefill_queue(QueuePolicy::FirstComeFirstServed);
-    order->add(prompt(2, 1));
-    order->add(prompt(1, 90));
-    EXPECT_EQ(first(*order, Time { 2s }), 1U);
+    auto const queue = make_prefill_queue(QueuePolicy::FirstComeFirstServed);
+    queue->add(prompt(2, 1));
+    queue->add(prompt(1, 90));
+    EXPECT_EQ(first(*queue, Time { 2s }), 1U);
 }
 
-// Whatever is added, committed and removed, each prompt that is left is offered exactly once.
+// After any sequence of additions, commits and removals, each remaining prompt is offered exactly once.
 RC_GTEST_PROP(PrefillQueueProperty, NoPromptIsLostOrOfferedTwice, ())
 {
     auto const policy = *rc::gen::element(QueuePolicy::ValuePerCost, QueuePolicy::FirstComeFirstServed);
-    auto const order = make_prefill_queue(policy);
+    auto const queue = make_prefill_queue(policy);
     std::set<PromptId> present;
     auto const steps = *rc::gen::inRange(1, 60);
     for (auto i = 0; i < steps; ++i) {
@@ -84,19 +84,19 @@
         auto const now = Time { std::chrono::seconds(*rc::gen::inRange(1, 8)) };
         auto const step = *rc::gen::inRange(0, 4);
         if (step == 0) {
-            order->remove(id);
+            queue->remove(id);
             present.erase(id);
         } else if (step == 1) {
-            order->commit(id);
+            queue->commit(id);
         } else {
-            order->add(prompt(id, *rc::gen::inRange(1, 90), now, *rc::gen::inRange(0, 3)));
+            queue->add(prompt(id, *rc::gen::inRange(1, 90), now, *rc::gen::inRange(0, 3)));
             present.insert(id);
         }
         std::multiset<PromptId> offered;
-        for (auto const& next : order->next(now, 100))
+        for (auto const& next : queue->next(now, 100))
             offered.insert(next.id);
         RC_ASSERT(offered == std::multiset<PromptId>(present.begin(), present.end()));
-        RC_ASSERT(order->size() == present.size());
+        RC_ASSERT(queue->size() == present.size());
     }
 }
 
