--- a/src/core/serving/crash_ledger.h
+++ b/src/core/serving/crash_ledger.h
@@ -1,16 +1,16 @@
-// Requests under which engines ended, by fingerprint, as this node saw it and as others told.
+// Requests that were running at engines when these crashed, by fingerprint, as observed by this node and its peers.
 //
-// Protocol. An end names a request and one life of an engine. Nodes tell each other their marks; a ledger takes their
-// union, so that marks may come in any order, several times, and from anywhere. A request under which
-// `quarantine_threshold` engines ended is in quarantine: no node sends it to an engine until `quarantine` after the
-// last end. Then it may be tried again; its ends are remembered for `memory`, so one more puts it back at once. A run
-// that ended well clears what came before it: a request that ends engines never gets so far, one that was only beside
-// it does. Clearances are told like ends; of two the later counts. Ages, not times, are told: nodes need no common
-// clock.
+// Protocol. A crash mark names a request and one incarnation of an engine. Nodes exchange their marks and a ledger
+// holds the union, so marks may arrive in any order, repeatedly and from any node. A request with
+// `quarantine_threshold` crashes is quarantined: no node sends it to an engine until `quarantine` after the last crash.
+// After that it may be tried again; its crashes are remembered for `memory`, so one more quarantines it again at once.
+// A successful execution clears all earlier crashes: a request that crashes engines never succeeds, one that merely ran
+// next to it does. Clearances are exchanged like crashes; a later one supersedes. Marks carry ages, not times, so that
+// nodes need no common clock.
 //
-// Price: a request that was on three engines that ended in a row, and never came to its end in between, is refused for
-// `quarantine` though it may be innocent. A request that ends engines costs `quarantine_threshold` of them, and those
-// that begin with it at other nodes before the last of these is known.
+// Cost: an innocent request that happens to run at three engines that crash in a row, without succeeding in between, is
+// refused for `quarantine`. A request that crashes engines takes down `quarantine_threshold` of them, plus those at
+// which other nodes start it before they learn of the last of these crashes.
 #pragma once
 
 #include <cstdint>
@@ -25,9 +25,9 @@
 
 namespace saltquay::serving {
 
-// An engine that ended under a request; or, with key 0, a run of it that ended well.
+// A request was at an engine that crashed; or, with key 0, an execution of the request succeeded.
 struct CrashMark {
-  std::uint64_t request = 0;  // Its fingerprint.
+  std::uint64_t request = 0;  // Fingerprint.
   EngineKey engine;
   Duration age = 0s;
 
@@ -35,60 +35,62 @@
 };
 
 struct CrashLedgerParameters {
-  // The platform's rule counts what is sent after the third.
+  // The platform's rule counts executions that are started after the third crash.
   int quarantine_threshold = 3;
-  // Callers that repeat give up within their deadlines, of seconds; an engine that ends is missing for four or five.
+  // Clients stop retrying at their deadlines, after seconds; a crashed engine is missing for four or five seconds.
   Duration quarantine = 300s;
   Duration memory = 600s;
-  // About 300 bytes each. Beyond it those with the fewest ends go first, the oldest of them before others.
+  // About 300 bytes each. Beyond the limit, requests with the fewest crashes are evicted first, the oldest among them
+  // before others.
   std::size_t max_ledger_requests = 1024;
-  // A change is told in each message for so long: five reports of a small fleet, twenty digests of a large one, of
-  // which some may be lost.
-  Duration news = 2s;
-  std::size_t max_recent_marks = 48;  // Marks of 24 bytes in one message.
-  // Marks of requests with two ends or more that each message repeats besides, by turns, for nodes that start anew.
-  std::size_t repeated = 6;
-  std::size_t max_persisted_requests = 128;  // Requests of which the store keeps the ends: about 40 KB of JSON.
+  // How long a change is included in every message: five reports in a small fleet or twenty digests in a large one,
+  // some of which may be lost.
+  Duration recent_period = 2s;
+  std::size_t max_recent_marks = 48;  // Per message; a mark takes 24 bytes.
+  // Older marks, of requests with two or more crashes, that each message repeats in round-robin order for the benefit
+  // of restarted nodes.
+  std::size_t max_repeated_marks = 6;
+  std::size_t max_persisted_requests = 128;  // Requests whose crashes are kept in the store; about 40 KB of JSON.
 };
 
 class CrashLedger {
  public:
   explicit CrashLedger(const CrashLedgerParameters& parameters) : parameters_(parameters) {}
 
-  // This node saw that an engine ended under the request. Returns whether that is news.
+  // This node observed that an engine crashed while it had the request. Returns whether that was unknown.
   bool RecordCrash(std::uint64_t request, EngineKey engine, Time at, Time now);
-  // A run of the request ended well. Returns whether that is news: whether engines had ended under it.
+  // An execution of the request succeeded. Returns whether that cleared any crashes.
   bool NoteServed(std::uint64_t request, Time now);
-  // Takes over what another node knows. Returns the requests of which something was news.
+  // Merges marks of another node. Returns the requests for which anything was unknown.
   std::vector<std::uint64_t> Merge(std::span<const CrashMark> marks, Time now);
 
-  // How long no node sends the request to an engine; nothing where it may be sent.
+  // For how long the request must not be sent to an engine; nothing if it may be sent.
   std::optional<Duration> QuarantineRemaining(std::uint64_t request, Time now) const;
+  // How many engines crashed while they had the request.
   int Ends(std::uint64_t request) const;
-  // What to tell others now: news, and some of the rest by turns.
+  // The marks to report to other nodes now: all recent changes, and some older marks in round-robin order.
   std::vector<CrashMark> MarksToReport(Time now);
   std::size_t size() const { return entries_.size(); }
   std::size_t QuarantinedCount(Time now) const;
-  // Those in quarantine of which this node itself saw an end.
+  // Quarantined requests of which this node itself observed a crash.
   std::vector<std::uint64_t> LocallyObservedQuarantined(Time now) const;
-  // The ends of all that are in quarantine, for who must not forget them; of `max_persisted_requests` requests at most,
-  // the latest.
+  // The crashes of quarantined requests, for persistent storage; limited to the `max_persisted_requests` latest ones.
   std::vector<CrashMark> QuarantineMarks(Time now) const;
 
  private:
   struct Entry {
-    std::map<EngineKey, Time> ends;
+    std::map<EngineKey, Time> crashes;
     std::optional<Time> cleared;
-    Time last{};       // Of the ends and the clearance.
-    Time changed{};    // When this node learnt the newest of it.
-    bool own = false;  // This node saw an end.
+    Time last{};         // The latest crash or clearance.
+    Time changed{};      // When this node last learnt something new about the request.
+    bool local = false;  // This node itself observed a crash.
   };
 
   bool AddCrash(std::uint64_t request, EngineKey engine, Time at, Time now);
-  static bool NoteCleared(Entry& entry, Time at, Time now);
+  static bool RecordClearance(Entry& entry, Time at, Time now);
   void AppendMarks(std::uint64_t request, const Entry& entry, Time now, std::vector<CrashMark>& marks) const;
-  // Forgets what is too old, and the least of what is too much; never `kept`.
-  void Shrink(std::uint64_t kept, Time now);
+  // Removes expired entries, and evicts the least important ones beyond the size limit, but never `protected_request`.
+  void Shrink(std::uint64_t protected_request, Time now);
 
   CrashLedgerParameters parameters_;
   std::unordered_map<std::uint64_t, Entry> entries_;
--- a/src/core/serving/engine_crash_detector.cc
+++ b/src/core/serving/engine_crash_detector.cc
@@ -3,18 +3,18 @@
 namespace saltquay::serving {
 namespace {
 
-// What an engine had sent before it ended is read within the same turns of the event loop.
+// Data that an engine sent before it crashed is read within a few iterations of the event loop.
 constexpr Duration kInFlightTolerance = 20ms;
-// Longer than a check and the connections of other work take to fail.
+// Longer than a probe takes, and the connections of other work take to fail.
 constexpr Duration kSuspicionTimeout = 5s;
 
 }  // namespace
 
-bool EngineCrashDetector::RecordBrokenResponse(const std::string& engine_id, EngineKey life, std::uint64_t request,
-                                               Time now) {
+bool EngineCrashDetector::RecordBrokenResponse(const std::string& engine_id, EngineKey incarnation,
+                                               std::uint64_t request, Time now) {
   const auto [entry, is_new] = suspects_.try_emplace(engine_id);
   if (is_new) {
-    entry->second.life = life;
+    entry->second.incarnation = incarnation;
     entry->second.since = now;
   }
   if (request != 0) entry->second.requests.insert(request);
@@ -31,17 +31,17 @@
   }
 }
 
-void EngineCrashDetector::NoteHeard(const std::string& engine_id, Time sent_at, Time now) {
+void EngineCrashDetector::RecordActivity(const std::string& engine_id, Time sent_at, Time now) {
   const auto suspect = suspects_.find(engine_id);
   if (suspect == suspects_.end()) return;
   if (sent_at > suspect->second.since || now > suspect->second.since + kInFlightTolerance) suspects_.erase(suspect);
 }
 
-std::vector<std::uint64_t> EngineCrashDetector::Listed(const Suspect& suspect) {
+std::vector<std::uint64_t> EngineCrashDetector::RequestsOf(const Suspect& suspect) {
   return {suspect.requests.begin(), suspect.requests.end()};
 }
 
-void EngineCrashDetector::Forget(Time now) {
+void EngineCrashDetector::ForgetExpired(Time now) {
   std::erase_if(suspects_, [&](const auto& entry) { return now - entry.second.since > kSuspicionTimeout; });
 }
 
--- a/src/core/serving/engine_crash_detector.h
+++ b/src/core/serving/engine_crash_detector.h
@@ -1,10 +1,10 @@
-// Tells an engine whose process ended from an engine of which only a connection broke.
+// Distinguishes an engine whose process crashed from one of which only a connection broke.
 //
-// Protocol. The first answer that breaks at an engine asks for a check: one connection to its address. Its process has
-// ended where that connection is refused and nothing that this node had under way there goes on. What the engine still
-// says later than what was on its way, or a connection that it accepts, clears it. A check that says nothing (a cut
-// link, an engine that is dark) proves nothing. An engine that had announced its end is not watched: its work was lost
-// by plan.
+// Protocol. The first response of an engine that is interrupted triggers a probe: one connection to its address. The
+// process is taken to have crashed if that connection is refused and none of this node's other work there makes
+// progress. Anything that the engine sends, other than data already in flight, or an accepted connection clears it. A
+// probe without result (network partition, unresponsive engine) proves nothing. An engine that announced its shutdown
+// is not probed: its work was lost as planned.
 #pragma once
 
 #include <cstdint>
@@ -18,51 +18,53 @@
 
 namespace saltquay::serving {
 
-// What a connection to an engine's address came to.
+// The result of a connection attempt to an engine's address.
 enum class EngineProbeOutcome {
-  kRefused,   // Nobody listens there.
-  kAccepted,  // Somebody does.
-  kUnknown,   // Neither in time.
+  kRefused,   // No process is listening.
+  kAccepted,  // A process is listening.
+  kUnknown,   // Neither before the timeout.
 };
 
-// An engine that ended, and the fingerprints of the requests that were at it.
+// A crashed engine and the fingerprints of the requests that were running there.
 struct CrashedEngine {
   std::string engine_id;
-  EngineKey life;  // That ended; another may have begun under the same id.
+  EngineKey incarnation;  // The incarnation that crashed; another one may have started under the same id.
   Time first_failure_at{};
   std::vector<std::uint64_t> requests;
 };
 
 class EngineCrashDetector {
  public:
-  // An answer of that life broke; `request`: its fingerprint, 0: none. Returns whether the engine is to be checked now.
-  bool RecordBrokenResponse(const std::string& engine_id, EngineKey life, std::uint64_t request, Time now);
+  // A response of this incarnation was interrupted; `request`: its fingerprint, 0 if unknown. Returns whether to probe
+  // the engine now.
+  bool RecordBrokenResponse(const std::string& engine_id, EngineKey incarnation, std::uint64_t request, Time now);
   void RecordProbeOutcome(const std::string& engine_id, EngineProbeOutcome outcome);
-  // The engine answered: a request that was sent at `sent_at`, or at `now` more of an answer.
-  void NoteHeard(const std::string& engine_id, Time sent_at, Time now);
-  // Engines that have ended. `has_work`: whether this node still has work under way at the engine.
+  // The engine responded to a request sent at `sent_at`, or sent more of a response at `now`.
+  void RecordActivity(const std::string& engine_id, Time sent_at, Time now);
+  // Removes and returns the engines that have crashed. `has_work`: whether this node has work in flight at an engine.
   template <typename HasWork>
   std::vector<CrashedEngine> TakeCrashed(HasWork has_work, Time now) {
-    std::vector<CrashedEngine> ended;
+    std::vector<CrashedEngine> crashed;
     for (auto& [id, suspect] : suspects_) {
-      if (suspect.refused && !has_work(id)) ended.push_back({id, suspect.life, suspect.since, Listed(suspect)});
+      if (suspect.refused && !has_work(id))
+        crashed.push_back({id, suspect.incarnation, suspect.since, RequestsOf(suspect)});
     }
-    for (const CrashedEngine& engine : ended) suspects_.erase(engine.engine_id);
-    Forget(now);
-    return ended;
+    for (const CrashedEngine& engine : crashed) suspects_.erase(engine.engine_id);
+    ForgetExpired(now);
+    return crashed;
   }
   bool empty() const { return suspects_.empty(); }
 
  private:
   struct Suspect {
-    EngineKey life;
+    EngineKey incarnation;
     Time since{};
     bool refused = false;
     std::set<std::uint64_t> requests;
   };
 
-  static std::vector<std::uint64_t> Listed(const Suspect& suspect);
-  void Forget(Time now);
+  static std::vector<std::uint64_t> RequestsOf(const Suspect& suspect);
+  void ForgetExpired(Time now);
 
   std::map<std::string, Suspect> suspects_;  // By engine.
 };
--- a/src/core/serving/events.h
+++ b/src/core/serving/events.h
@@ -1,7 +1,7 @@
-// The seam of the serving core: what happens to it, and what it asks for.
+// The interface between the serving core and its driver: events in, actions out.
 //
-// One flow is one client request; an attempt is one call to one engine for it.
-// The driver keeps the bytes (heads, bodies, events); the core only decides.
+// A flow is one client request; an attempt is one call to one engine on behalf of a flow.
+// The driver holds the bytes (heads, bodies, stream events); the core only makes decisions.
 #pragma once
 
 #include <cstdint>
@@ -29,18 +29,18 @@
 struct PromptPart {
   std::string id;
   int tokens = 0;
-  std::uint64_t hash = 0;  // Of the id.
+  std::uint64_t hash = 0;  // Hash of the id.
 
   PromptPart() = default;
   PromptPart(std::string part, int size) : id(std::move(part)), tokens(size), hash(HashText(id)) {}
 };
 
-// What the caller told of its prompt.
+// Prompt properties as declared by the client.
 struct PromptMetadata {
   std::string model;
   int tokens = 0;
   int output_tokens = 0;
-  std::vector<PromptPart> parts;  // In order; the last belongs to the request itself.
+  std::vector<PromptPart> parts;  // In prompt order; the last one is specific to this request and not shared.
 };
 
 struct RequestMetadata {
@@ -49,17 +49,17 @@
   std::string path;
   std::optional<Duration> deadline;
   std::optional<PromptMetadata> prompt;
-  std::string last_event_id;  // Of a client that resumes a stream.
-  // The caller's secret, empty where it sent none. It stands in no log line and goes to no engine.
+  std::string last_event_id;  // Set when the client resumes a stream.
+  // The client's secret; empty if it sent none. Must never be logged or forwarded to an engine.
   std::string api_key;
-  // What it is, over all its attempts, nodes and connections; 0: not told.
+  // Identifies the request across attempts, nodes, connections and client retries; 0 if unknown.
   std::uint64_t fingerprint = 0;
 };
 
-// Units that the request takes of a limit.
+// Units of the tenant's limit that the request consumes.
 std::int64_t CostOf(const limits::TenantLimit& limit, const RequestMetadata& facts);
 
-// What an engine's answer head says.
+// The fields of an engine's response head that the core uses.
 struct EngineResponseHead {
   int status = 0;
   bool not_executed = false;
@@ -69,9 +69,9 @@
 
 enum class AttemptFailure { kNotSent, kBroken, kMalformed };
 enum class AttemptMode {
-  kWhole,     // Read and answer.
-  kPrefill,   // Read only; the engine keeps the memory under a handle.
-  kContinue,  // Answer from memory that another engine keeps.
+  kWhole,     // Prefill and decode at the same engine.
+  kPrefill,   // Prefill only; the engine keeps the KV cache under a handle.
+  kContinue,  // Decode from a KV cache that another engine holds.
 };
 
 struct ConfigurationChanged {
@@ -86,18 +86,18 @@
 struct EngineRemoved {
   std::string id;
 };
-// Whether the node hears the store, so that what it knows is fresh.
+// Whether the node is connected to the store, so that its view of configuration and engines is current.
 struct StoreConnectivityChanged {
   bool in_contact = false;
 };
-// What the peers' reports add up to.
+// Aggregate of the peers' latest reports.
 struct PeersChanged {
-  int nodes = 1;      // This one included.
-  Duration age = 0s;  // The parts' mean.
+  int nodes = 1;      // Including this one.
+  Duration age = 0s;  // Mean age of the reports.
   std::map<EngineKey, EngineWork> work;
   std::vector<EngineHold> holds;
-  std::vector<KeptPart> kept;         // News.
-  std::vector<ServiceDemand> demand;  // Of the peers together.
+  std::vector<KeptPart> kept;         // Prompt parts that engines have newly cached.
+  std::vector<ServiceDemand> demand;  // Sum over the peers.
 };
 struct RequestArrived {
   FlowId flow = 0;
@@ -109,9 +109,9 @@
 struct AttemptHeadReceived {
   FlowId flow = 0;
   AttemptId attempt = 0;
-  EngineResponseHead answer;
+  EngineResponseHead response_head;
 };
-// Events of a stream that came whole.
+// Complete events of a stream have arrived.
 struct AttemptEventsReceived {
   FlowId flow = 0;
   AttemptId attempt = 0;
@@ -120,32 +120,32 @@
 struct AttemptCompleted {
   FlowId flow = 0;
   AttemptId attempt = 0;
-  std::string handle;  // Of a prefill.
+  std::string handle;  // KV cache handle; only for a prefill.
 };
 struct AttemptFailed {
   FlowId flow = 0;
   AttemptId attempt = 0;
   AttemptFailure failure = AttemptFailure::kBroken;
 };
-// The answer to ProbeEngine.
+// The result of a ProbeEngine action.
 struct EngineProbed {
   std::string engine_id;
   EngineProbeOutcome outcome = EngineProbeOutcome::kUnknown;
 };
-// What a peer knows of requests under which engines ended.
+// A peer's records of requests whose engines crashed.
 struct PeerCrashesReported {
   std::vector<CrashMark> marks;
 };
-// All nodes that are known and do not stop, without this one, and how many it is in touch with.
+// All known nodes that are not stopping, excluding this one, and how many of them are reachable.
 struct NodesChanged {
   std::vector<limits::LimiterNode> nodes;
   limits::Reach reach;
 };
-// What another node says of a tenant's limit.
+// A message of the limit protocol from another node.
 struct LimitMessageArrived {
   limits::LimitMessage message;
 };
-// This node takes no new duties: it stops.
+// This node is shutting down and takes on no new duties.
 struct NodeStopping {};
 struct TimerFired {};
 
@@ -167,29 +167,29 @@
   std::string address;
   AttemptMode mode = AttemptMode::kWhole;
   std::optional<KvCacheSource> memory;
-  std::string copy_from;  // Address of an engine that may keep what the prompt shares with others; empty: none.
+  std::string copy_from;  // Address of an engine that may have the prompt's shared parts cached; empty: none.
   std::string last_event_id;
   Duration time_left = 0s;
   Duration connect_timeout = 0s;
   int priority = 5;
   bool streams = false;
-  std::string tenant;  // Whose request it is; empty: an anonymous caller's.
+  std::string tenant;  // Empty for an anonymous client.
   bool on_new_connection = false;
 };
 struct CancelAttempt {
   AttemptId attempt = 0;
 };
-// Connections to the engine that rest may be dead: the next attempt there takes a new one.
+// Idle connections to the engine may be dead; the next attempt to it must open a new one.
 struct DropIdleConnections {
   std::string engine_id;
   std::string address;
 };
-// Send the attempt's buffered answer to the client, whole.
+// Send the attempt's complete buffered response to the client.
 struct RelayResponse {
   FlowId flow = 0;
   AttemptId attempt = 0;
 };
-// Send the attempt's head if none was sent yet, and its events as they come.
+// Send the attempt's response head unless one was sent already, then its stream events as they arrive.
 struct BeginRelay {
   FlowId flow = 0;
   AttemptId attempt = 0;
@@ -202,39 +202,39 @@
   int status = 0;
   std::optional<Duration> retry_after;
 };
-// End the answer so that it does not look complete.
+// Terminate the response such that the client can tell that it is incomplete.
 struct AbortResponse {
   FlowId flow = 0;
 };
 struct ReleaseKvCache {
   KvCacheSource memory;
 };
-// A tenant's request began to run at an engine, for the first time.
+// A tenant's request started executing at an engine for the first time. Counts towards the tenant's usage.
 struct ExecutionStarted {
   std::string tenant;
   Time began{};
 };
-// A call to an engine of the service counted against the retry budget.
+// A call to an engine of the service was charged to the retry budget.
 struct ExtraArrivalCounted {
   std::string service;
   ExtraArrival cause = ExtraArrival::kExecutionRetried;
 };
-// Whether anybody listens at the engine's address.
+// Open a connection to the engine's address to find out whether a process still listens there.
 struct ProbeEngine {
   std::string engine_id;
   std::string address;
 };
-// To other nodes, each as one datagram, or several together for one node.
+// Send the messages to other nodes, one datagram each; several messages to one node may share a datagram.
 struct SendLimitMessages {
   std::vector<limits::AddressedLimitMessage> messages;
 };
-// The peers are to be told at once of requests under which engines ended.
+// Report requests whose engines crashed to the peers immediately instead of with the next periodic report.
 struct ReportCrashes {};
-// One line of the decision log.
+// Write one line to the decision log.
 struct LogDecision {
   EventId event = EventId::kRequestRouted;
-  std::string request_id;  // Empty where no request is concerned.
-  std::string details;     // JSON members, without braces.
+  std::string request_id;  // Empty if the line is not about a single request.
+  std::string details;     // JSON members, without the enclosing braces.
 };
 
 using Action = std::variant<StartAttempt, CancelAttempt, DropIdleConnections, RelayResponse, BeginRelay, EndRelay,
--- a/src/core/serving/flow_steps.cc
+++ b/src/core/serving/flow_steps.cc
@@ -1,4 +1,4 @@
-// The steps of one request's flow; see serving_core.h for the protocol.
+// The steps of a flow; see serving_core.h for the protocol.
 #include <algorithm>
 
 #include <fmt/format.h>
@@ -29,54 +29,54 @@
 
 // Starts the next attempt that the flow needs, or waits for an engine.
 void ServingCore::Advance(Flow& flow) {
-  const bool wants_prefill = SplitsPrompt(flow, parameters_) && !flow.memory;
+  const bool wants_prefill = SplitsPrompt(flow, parameters_) && !flow.kv_cache;
   if (wants_prefill && EnqueuePrefill(flow)) return;
   if (StartExecution(flow)) return;
   WaitOrRefuse(flow);
 }
 
 bool ServingCore::StartExecution(Flow& flow) {
-  const AttemptMode mode = flow.memory ? AttemptMode::kContinue : AttemptMode::kWhole;
+  const AttemptMode mode = flow.kv_cache ? AttemptMode::kContinue : AttemptMode::kWhole;
   EngineState* engine = ChooseExecutionEngine(flow, mode);
   if (engine == nullptr) return false;
-  // What first readings may still cost is not spent twice.
+  // Leave enough budget for the unsettled first prefills.
   const int unsettled_calls = flow.language ? PrefillStateOf(flow.service).unsettled_calls : 0;
   if (flow.arrivals > 0 && !retry_budget_share_.MayTake(flow.service, now_, unsettled_calls)) return false;
   if (flow.arrivals > 0) ChargeRetryBudget(flow, ExtraArrival::kExecutionRetried);
   ++flow.arrivals;
   Start(flow, *engine, mode);
-  flow.memory.reset();  // A handle serves once.
+  flow.kv_cache.reset();  // A handle can be used once.
   return true;
 }
 
-// Between two reports of the others a good engine stays the best in all nodes' eyes: each of them would send
-// there. What they probably have started since is added to each engine at random.
+// Between two rounds of reports, all nodes see the same engine as the best one and would all send to it. To avoid that,
+// the estimated work that they have started since is distributed over the engines at random.
 void ServingCore::EstimateUnreportedWork(const std::string& service) {
-  const auto meter = starts_.find(service);
-  if (!parameters_.estimates_unreported_work || meter == starts_.end() || nodes_ <= 1)
+  const auto meter = dispatch_rates_.find(service);
+  if (!parameters_.estimates_unreported_work || meter == dispatch_rates_.end() || nodes_ <= 1)
     return selector_.set_unreported_work({});
   const double others = ToSeconds(peer_report_age_) * (nodes_ - 1);
   selector_.set_unreported_work(
-      {others * meter->second.prompt_tokens.Get(now_), others * meter->second.runs.Get(now_)});
+      {others * meter->second.prompt_tokens.Get(now_), others * meter->second.executions.Get(now_)});
 }
 
 EngineState* ServingCore::ChooseExecutionEngine(Flow& flow, AttemptMode mode) {
   EstimateUnreportedWork(flow.service);
   if (flow.language) {
     const std::string& zone = mode == AttemptMode::kContinue ? flow.kv_cache_zone : std::string();
-    EngineState* decode = selector_.ChooseDecodeEngine(engines_, flow.service, zone, flow.tried, now_);
+    EngineState* decode = selector_.ChooseDecodeEngine(engines_, flow.service, zone, flow.tried_engines, now_);
     if (decode != nullptr || mode == AttemptMode::kContinue) return decode;
-    // Engines without stages read and answer alike.
-    return selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kUniform, *flow.facts.prompt, flow.tried,
-                                         now_);
+    // Engines without stages do both prefill and decode.
+    return selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kUniform, *flow.facts.prompt,
+                                         flow.tried_engines, now_);
   }
-  return selector_.ChooseUniformEngine(engines_, flow.service, flow.tried, now_);
+  return selector_.ChooseUniformEngine(engines_, flow.service, flow.tried_engines, now_);
 }
 
 void ServingCore::Start(Flow& flow, EngineState& engine, AttemptMode mode) {
   flow.engine_wait_ends.reset();
-  ++flow.tries;
-  if (mode != AttemptMode::kPrefill) ++flow.runs;
+  ++flow.attempt_count;
+  if (mode != AttemptMode::kPrefill) ++flow.executions;
   Attempt attempt;
   attempt.id = ++last_attempt_;
   attempt.engine_id = engine.record.id;
@@ -94,9 +94,9 @@
   start.engine_id = engine.record.id;
   start.address = engine.record.address;
   start.mode = mode;
-  if (mode == AttemptMode::kContinue) start.memory = attempt.memory = flow.memory;
+  if (mode == AttemptMode::kContinue) start.memory = attempt.kv_cache = flow.kv_cache;
   start.last_event_id = flow.last_event_id;
-  start.time_left = flow.ends + parameters_.response_margin - now_;
+  start.time_left = flow.expires_at + parameters_.response_margin - now_;
   start.connect_timeout =
       std::clamp(FromSeconds(connect_seconds), parameters_.min_connect_timeout, parameters_.max_connect_timeout);
   start.priority = flow.route.priority;
@@ -112,18 +112,18 @@
 }
 
 void ServingCore::MeterDispatch(Flow& flow, const Attempt& attempt) {
-  // A prompt that allows_overflow to an engine that answers still asks for one that reads.
-  const bool apart = attempt.mode == AttemptMode::kPrefill || SplitsPrompt(flow, parameters_);
-  if (attempt.mode != AttemptMode::kContinue) MeterPrefillDemand(flow, attempt.prompt_tokens, apart);
-  DispatchRates& meter = starts_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
+  // A prompt that overflows to a decode engine is still demand for prefill engines.
+  const bool separate = attempt.mode == AttemptMode::kPrefill || SplitsPrompt(flow, parameters_);
+  if (attempt.mode != AttemptMode::kContinue) MeterPrefillDemand(flow, attempt.prompt_tokens, separate);
+  DispatchRates& meter = dispatch_rates_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
   if (attempt.mode == AttemptMode::kPrefill) {
     meter.prompt_tokens.Add(static_cast<double>(attempt.prompt_tokens), now_);
   } else {
-    meter.runs.Add(1, now_);
+    meter.executions.Add(1, now_);
   }
 }
 
-// Engines of the service can copy memory from each other.
+// Whether engines of the service can copy KV cache from each other.
 bool ServingCore::SupportsPrefixCopy(const Flow& flow) const {
   const Service* service = config_ ? config_->FindService(flow.service) : nullptr;
   return parameters_.copies_prefix_parts && service != nullptr && service->language && service->language->link_mbps > 0;
@@ -140,12 +140,12 @@
           std::min<std::int64_t>(attempt.prompt_tokens, selector_.TokensToPrefill(source->key, prompt, now_));
     }
   }
-  // From now on others may count on it; a reading that is lost costs them one more.
+  // From now on other prompts are routed as if the parts were cached here; if this prefill is lost, they need another.
   selector_.RecordPrefill(engine.key, prompt, now_);
 }
 
 void ServingCore::LogRouted(const Flow& flow, const EngineState& engine, const StartAttempt& start,
-                            std::int64_t tokens_to_read) {
+                            std::int64_t tokens_to_prefill) {
   Log(EventId::kRequestRouted, &flow,
       fmt::format(
           R"("route":"{}","service":"{}","tenant":"{}","limit_home":"{}","cost":{},"version":{},"engine":"{}","mode":"{}",)"
@@ -153,172 +153,171 @@
           R"("load_age_ms":{},"backlog_tokens":{},"peers_tokens":{},"tokens_to_read":{},"read_rate":{:.0f},)"
           R"("window":{:.1f},"under_way":{},"waiting":{},)"
           R"("copy_from":"{}","left_ms":{})",
-          flow.route.name, flow.service, flow.tenant, flow.limit_home, flow.limit_cost, version(), engine.record.id,
-          ModeName(start.mode), flow.tries, selector_.EstimatedLoad(engine, now_),
+          flow.route.name, flow.service, flow.tenant, flow.limit_owner, flow.limit_cost, version(), engine.record.id,
+          ModeName(start.mode), flow.attempt_count, selector_.EstimatedLoad(engine, now_),
           engine.has_reported_load ? (now_ - engine.load_reported_at).count() / 1000 : -1,
-          engine.outstanding_prompt_tokens, engine.peers_prompt_tokens, tokens_to_read, selector_.read_rate(),
-          lines_.contains(flow.service) ? lines_.at(flow.service).readers.limit() : 0,
-          lines_.contains(flow.service) ? lines_.at(flow.service).readers.under_way() : 0,
-          lines_.contains(flow.service) ? lines_.at(flow.service).order->size() : 0, start.copy_from,
+          engine.outstanding_prompt_tokens, engine.peers_prompt_tokens, tokens_to_prefill, selector_.read_rate(),
+          prefill_states_.contains(flow.service) ? prefill_states_.at(flow.service).prefill_window.limit() : 0,
+          prefill_states_.contains(flow.service) ? prefill_states_.at(flow.service).prefill_window.under_way() : 0,
+          prefill_states_.contains(flow.service) ? prefill_states_.at(flow.service).queue->size() : 0, start.copy_from,
           start.time_left.count() / 1000));
 }
 
 void ServingCore::WaitOrRefuse(Flow& flow) {
-  if (!flow.attempts.empty()) return ScheduleWakeUp(flow);  // Another attempt is still under way.
-  if (flow.relaying) return AbortFlow(flow, "no engine to go on with");
+  if (!flow.attempts.empty()) return ScheduleWakeUp(flow);  // Another attempt is still in flight.
+  if (flow.relaying) return AbortFlow(flow, "no engine available to resume the stream");
   const Duration share = FromSeconds(ToSeconds(flow.route.objective) * parameters_.engine_wait_share);
-  if (!flow.engine_wait_ends) flow.engine_wait_ends = now_ + std::min(share, parameters_.longest_wait);
-  if (now_ >= *flow.engine_wait_ends) return Refuse(flow, "no engine can take it");
+  if (!flow.engine_wait_ends) flow.engine_wait_ends = now_ + std::min(share, parameters_.max_engine_wait);
+  if (now_ >= *flow.engine_wait_ends) return Refuse(flow, "no engine available");
   ScheduleWakeUp(flow);
 }
 
 void ServingCore::FinishPrefill(Flow& flow, const Attempt& attempt, const std::string& handle) {
   EngineState* engine = engines_.Find(attempt.engine_id);
-  const bool read = attempt.answer.status < kFirstRedirect && !handle.empty() && engine != nullptr;
-  if (!read) {
-    flow.tried.insert(attempt.engine_id);
-    return Retry(flow, "prompt not read");
+  const bool prefilled = attempt.response_head.status < kFirstRedirect && !handle.empty() && engine != nullptr;
+  if (!prefilled) {
+    flow.tried_engines.insert(attempt.engine_id);
+    return Retry(flow, "prefill failed");
   }
   RecordPrefillDone(attempt);
   SettleFirstPrefill(flow, true);
   if (attempt.engine_was_idle) selector_.RecordPrefillTime(attempt.prompt_tokens, now_ - attempt.sent_at);
-  if (flow.memory) {  // A second prefill also came to its end.
+  if (flow.kv_cache) {  // A second prefill has completed as well.
     actions_->push_back(ReleaseKvCache{{attempt.engine_id, engine->record.address, handle}});
     return;
   }
-  flow.memory = KvCacheSource{attempt.engine_id, engine->record.address, handle};
+  flow.kv_cache = KvCacheSource{attempt.engine_id, engine->record.address, handle};
   flow.kv_cache_refused_by.clear();
   flow.kv_cache_zone = engine->record.zone;
-  flow.read_at = now_;
+  flow.prefilled_at = now_;
   Advance(flow);
 }
 
 void ServingCore::FinishExecution(Flow& flow, const Attempt& attempt) {
-  const int status = attempt.answer.status;
-  if (status < kFirstError && attempt.answer.signed_by_engine) NoteServed(flow);
+  const int status = attempt.response_head.status;
+  if (status < kFirstError && attempt.response_head.signed_by_engine) NoteServed(flow);
   if (flow.relayed_attempt == attempt.id) {
     Log(EventId::kRequestAnswered, &flow,
         fmt::format(R"("status":{},"engine":"{}","took_ms":{},"tries":{},"stream":true)", status, attempt.engine_id,
-                    (now_ - flow.arrived).count() / 1000, flow.tries));
+                    (now_ - flow.arrived).count() / 1000, flow.attempt_count));
     actions_->push_back(EndRelay{flow.id});
     return Erase(flow.id);
   }
-  if (flow.relaying) return Retry(flow, "the stream was not taken up");
-  const bool failed = status >= kFirstError || (status < kFirstRedirect && !attempt.answer.signed_by_engine);
+  if (flow.relaying) return Retry(flow, "stream was not resumed");
+  const bool failed = status >= kFirstError || (status < kFirstRedirect && !attempt.response_head.signed_by_engine);
   if (failed && MayExecuteAgain(flow) && retry_budget_share_.Left(flow.service, now_) >= 1) {
-    const int runs = flow.runs;
+    const int executions = flow.executions;
     const FlowId id = flow.id;
-    flow.tried.insert(attempt.engine_id);
-    Retry(flow, "the engine failed");
-    if (FindFlow(id) == nullptr || flow.runs > runs) return;
+    flow.tried_engines.insert(attempt.engine_id);
+    Retry(flow, "engine returned an error");
+    if (FindFlow(id) == nullptr || flow.executions > executions) return;
   }
-  // A promise that nothing ran is not ours to pass on once it may have.
-  const bool false_promise =
+  // These statuses promise the client that the request was not executed, which is not known here.
+  const bool promises_not_executed =
       status == kUnavailable || status == kTooManyRequests || status == kRequestTimeout || status == kMisdirected;
-  if (false_promise || (status < kFirstRedirect && !attempt.answer.signed_by_engine)) {
-    return Fail(flow, kBadGateway, "the engine's answer proves nothing");
+  if (promises_not_executed || (status < kFirstRedirect && !attempt.response_head.signed_by_engine)) {
+    return Fail(flow, kBadGateway, "engine response is not trustworthy");
   }
   CancelAttempts(flow, 0);
   Log(EventId::kRequestAnswered, &flow,
       fmt::format(R"("status":{},"engine":"{}","took_ms":{},"tries":{})", status, attempt.engine_id,
-                  (now_ - flow.arrived).count() / 1000, flow.tries));
+                  (now_ - flow.arrived).count() / 1000, flow.attempt_count));
   actions_->push_back(RelayResponse{flow.id, attempt.id});
   Erase(flow.id);
 }
 
-// The engine says that it did not run the request.
+// The engine states that it did not execute the request.
 void ServingCore::OnRefusal(Flow& flow, const Attempt& attempt) {
-  flow.tried.insert(attempt.engine_id);
-  const bool elsewhere = attempt.answer.status == kMisdirected;
-  const std::optional<EngineLoad>& load = attempt.answer.load;
+  flow.tried_engines.insert(attempt.engine_id);
+  const bool misdirected = attempt.response_head.status == kMisdirected;
+  const std::optional<EngineLoad>& load = attempt.response_head.load;
   const EngineState* engine = engines_.Find(attempt.engine_id);
   const bool changing = engine != nullptr && now_ < std::max(engine->held_until, engine->changing_until);
   const bool full = changing || (load && load->running + load->waiting >= load->slots);
-  if (elsewhere) {
-    LogEngineStanding(engines_.RecordWrongEngine(attempt.engine_id, now_));
+  if (misdirected) {
+    LogEngineHealth(engines_.RecordWrongEngine(attempt.engine_id, now_));
   } else if (attempt.mode != AttemptMode::kContinue) {
-    NoteRefusal(attempt, full);
+    RecordRefusal(attempt, full);
   } else {
-    // It may be the fault of the engine that keeps the memory, so it says nothing of health.
+    // The engine that holds the KV cache may be the cause, so the refusal says nothing about this engine's health.
     engines_.RecordRejection(attempt.engine_id, now_);
   }
   if (attempt.mode == AttemptMode::kPrefill) {
     SettleFirstPrefill(flow, false);
   } else {
-    --flow.runs;
+    --flow.executions;
   }
-  if (attempt.memory) OnKvHandoffRefused(flow, attempt, elsewhere || full);
-  Retry(flow, "refused by the engine");
+  if (attempt.kv_cache) OnKvHandoffRefused(flow, attempt, misdirected || full);
+  Retry(flow, "refused by engine");
 }
 
-// An engine that refuses a hand-over is full, or could not fetch the memory; its answer does not always tell which.
-// To read the prompt again and to hand it over again are two arrivals of the retry budget, to hand it over elsewhere is
-// one: the memory is given up only when another engine refuses it too.
+// An engine that refuses a KV handoff is full or could not fetch the KV cache; its response does not always say which.
+// Repeating prefill and handoff is charged to the retry budget as two arrivals, a handoff to another engine as one. The
+// KV cache is therefore discarded only when a second engine refuses it as well.
 void ServingCore::OnKvHandoffRefused(Flow& flow, const Attempt& attempt, bool still_held) {
   const bool first = flow.kv_cache_refused_by.empty();
   flow.kv_cache_refused_by.push_back(attempt.engine_id);
   if (still_held || first) {
-    flow.memory = attempt.memory;
+    flow.kv_cache = attempt.kv_cache;
     return;
   }
-  // The engines may be as good as any for other memory; they are left alone for a while all the same.
-  for (const std::string& engine : flow.kv_cache_refused_by) flow.tried.erase(engine);
+  // The engines may accept another KV cache, so they may be tried again; they stay backed off for a while.
+  for (const std::string& engine : flow.kv_cache_refused_by) flow.tried_engines.erase(engine);
   flow.kv_cache_refused_by.clear();
-  actions_->push_back(ReleaseKvCache{*attempt.memory});
+  actions_->push_back(ReleaseKvCache{*attempt.kv_cache});
 }
 
-// An engine that refuses although it says that it has room is not well; any
-// other refusal is a matter of load.
-void ServingCore::NoteRefusal(const Attempt& attempt, bool full) {
+// An engine that refuses although it reports free slots counts as failing; any other refusal is caused by load.
+void ServingCore::RecordRefusal(const Attempt& attempt, bool full) {
   if (attempt.window != nullptr) attempt.window->record_rejection(now_, attempt.target);
-  const bool has_room = attempt.answer.load && !full;
-  if (has_room) {
-    LogEngineStanding(engines_.RecordResponse(attempt.engine_id, true, now_));
+  const bool has_free_slots = attempt.response_head.load && !full;
+  if (has_free_slots) {
+    LogEngineHealth(engines_.RecordResponse(attempt.engine_id, true, now_));
   } else {
     engines_.RecordRejection(attempt.engine_id, now_);
   }
 }
 
 void ServingCore::OnAttemptLost(Flow& flow, const Attempt& attempt, AttemptFailure failure) {
-  flow.tried.insert(attempt.engine_id);
+  flow.tried_engines.insert(attempt.engine_id);
   flow.unanswered = true;
   const bool arrived = failure != AttemptFailure::kNotSent;
   if (!arrived) {
-    if (attempt.memory) flow.memory = attempt.memory;
+    if (attempt.kv_cache) flow.kv_cache = attempt.kv_cache;
     if (attempt.mode == AttemptMode::kPrefill) --flow.prefills;
     if (attempt.mode != AttemptMode::kPrefill) {
-      --flow.runs;
+      --flow.executions;
       --flow.arrivals;
     }
-    return Retry(flow, "no connection");
+    return Retry(flow, "connection failed");
   }
   if (attempt.mode == AttemptMode::kPrefill) {
-    // Whether the engine took it up before its connection broke cannot be known.
+    // It cannot be known whether the engine accepted the prefill before the connection was lost.
     SettleFirstPrefill(flow, false);
-    return Retry(flow, "prefill lost");
+    return Retry(flow, "connection lost during prefill");
   }
   if (!MayExecuteAgain(flow)) {
-    if (flow.relaying) return AbortFlow(flow, "the engine broke off");
+    if (flow.relaying) return AbortFlow(flow, "engine connection lost");
     if (!flow.attempts.empty()) return ScheduleWakeUp(flow);
-    return Fail(flow, kBadGateway, "the engine broke off; it may have run");
+    return Fail(flow, kBadGateway, "engine connection lost; request may have run");
   }
-  Retry(flow, "the engine broke off");
+  Retry(flow, "engine connection lost");
 }
 
 void ServingCore::Retry(Flow& flow, std::string_view cause) {
   Log(EventId::kRequestRetried, &flow,
-      fmt::format(R"("cause":"{}","tries":{},"allowance":{:.1f})", cause, flow.tries,
+      fmt::format(R"("cause":"{}","tries":{},"allowance":{:.1f})", cause, flow.attempt_count,
                   retry_budget_share_.Left(flow.service, now_)));
-  if (flow.tries >= parameters_.max_tries) {
+  if (flow.attempt_count >= parameters_.max_attempts_per_flow) {
     if (!flow.attempts.empty()) return ScheduleWakeUp(flow);
-    if (flow.relaying) return AbortFlow(flow, "too many tries");
-    return flow.runs > 0 ? Fail(flow, kBadGateway, "too many tries") : Refuse(flow, "too many tries");
+    if (flow.relaying) return AbortFlow(flow, "too many attempts");
+    return flow.executions > 0 ? Fail(flow, kBadGateway, "too many attempts") : Refuse(flow, "too many attempts");
   }
   Advance(flow);
 }
 
 bool ServingCore::MayExecuteAgain(const Flow& flow) const {
-  return flow.route.repeatable() && flow.runs < flow.route.max_attempts;
+  return flow.route.repeatable() && flow.executions < flow.route.max_attempts;
 }
 
 void ServingCore::Refuse(Flow& flow, std::string_view cause) { Refuse(flow, cause, parameters_.retry_after); }
@@ -332,8 +331,8 @@
   CancelAttempts(flow, 0);
   Log(EventId::kRequestRefused, &flow,
       fmt::format(R"("status":{},"cause":"{}","held_ms":{},"tries":{},"version":{},"retry_after_ms":{}{})", status,
-                  cause, (now_ - flow.arrived).count() / 1000, flow.tries, version(), retry_after.count() / 1000,
-                  members));
+                  cause, (now_ - flow.arrived).count() / 1000, flow.attempt_count, version(),
+                  retry_after.count() / 1000, members));
   actions_->push_back(SendLocalReply{flow.id, status, retry_after});
   Erase(flow.id);
 }
@@ -342,7 +341,7 @@
   CancelAttempts(flow, 0);
   Log(EventId::kRequestFailed, &flow,
       fmt::format(R"("status":{},"cause":"{}","held_ms":{},"tries":{},"version":{})", status, cause,
-                  (now_ - flow.arrived).count() / 1000, flow.tries, version()));
+                  (now_ - flow.arrived).count() / 1000, flow.attempt_count, version()));
   actions_->push_back(SendLocalReply{flow.id, status, std::nullopt});
   Erase(flow.id);
 }
@@ -351,7 +350,7 @@
   CancelAttempts(flow, 0);
   Log(EventId::kRequestBrokenOff, &flow,
       fmt::format(R"("cause":"{}","held_ms":{},"tries":{},"last_event":"{}")", cause,
-                  (now_ - flow.arrived).count() / 1000, flow.tries, flow.last_event_id));
+                  (now_ - flow.arrived).count() / 1000, flow.attempt_count, flow.last_event_id));
   actions_->push_back(AbortResponse{flow.id});
   Erase(flow.id);
 }
@@ -374,7 +373,7 @@
   if (entry->second.unsettled_calls != nullptr) --*entry->second.unsettled_calls;
   if (entry->second.window != nullptr) {
     entry->second.window->record_completion();
-    dispatch_wanted_ = true;
+    dispatch_pending_ = true;
   }
   EngineState* engine = engines_.Find(entry->second.engine_id);
   if (engine != nullptr && engine->key == entry->second.engine_key) {
--- a/src/core/serving/limit_steps.cc
+++ b/src/core/serving/limit_steps.cc
@@ -1,4 +1,4 @@
-// Requests of tenants that have a limit: admitted before the first engine is called, and given back if none ran them.
+// Tenant limits: requests are charged before the first engine is called, and refunded if no engine executed them.
 #include <algorithm>
 #include <map>
 
@@ -45,11 +45,11 @@
 }
 
 void ServingCore::LogLimits(const std::map<std::string, limits::TenantLimit>& limits) {
-  constexpr int kMostLines = 50;  // Of one version; the others can be read in the configuration.
+  constexpr int kMaxLines = 50;  // Per configuration version; the configuration itself has them all.
   int lines = 0;
   for (const auto& [tenant, limit] : limits) {
     const auto known = limits_.find(tenant);
-    if ((known != limits_.end() && known->second == limit) || ++lines > kMostLines) continue;
+    if ((known != limits_.end() && known->second == limit) || ++lines > kMaxLines) continue;
     Log(EventId::kLimitChanged, nullptr,
         fmt::format(R"("version":{},"tenant":"{}","rate_per_s":{},"burst":{})", version(), tenant, limit.rate_per_s,
                     limit.burst));
@@ -67,13 +67,13 @@
   constexpr int kUnavailable = 503;
   flow.limit_pending = decision.verdict == limits::Verdict::Pending;
   if (flow.limit_pending) return ScheduleWakeUp(flow);
-  flow.limit_home = decision.decided_by;
+  flow.limit_owner = decision.decided_by;
   if (decision.verdict == limits::Verdict::Admitted) return BeginServing(flow);
   const std::string members =
       fmt::format(R"(,"tenant":"{}","cost":{},"limit_home":"{}")", flow.tenant, flow.limit_cost, decision.decided_by);
   const bool over = decision.over_limit;
   Refuse(flow, over ? kTooManyRequests : kUnavailable,
-         over ? "over the tenant's limit" : "the limit's home is not reached", decision.retry_after, members);
+         over ? "tenant limit exceeded" : "owner of the tenant limit not reachable", decision.retry_after, members);
 }
 
 void ServingCore::BeginServing(Flow& flow) {
@@ -83,8 +83,8 @@
 
 void ServingCore::SettleCharge(const Flow& flow) {
   if (limiter_ == nullptr || flow.limit_cost == 0) return;
-  // A reading is no run: what was only read is not held against the tenant.
-  if (flow.runs > 0 || flow.relaying) return limiter_->settle(flow.id);
+  // A prefill alone is not an execution and is not charged to the tenant.
+  if (flow.executions > 0 || flow.relaying) return limiter_->settle(flow.id);
   limiter_->refund(now_, flow.id);
 }
 
--- a/src/core/serving/prefill_steps.cc
+++ b/src/core/serving/prefill_steps.cc
@@ -1,4 +1,4 @@
-// Prompts that wait for an engine to read them: which goes next, and where.
+// Prefill queues: which prompt is dispatched next, and to which engine.
 #include <algorithm>
 
 #include <fmt/format.h>
@@ -16,52 +16,52 @@
 }  // namespace
 
 PrefillState& ServingCore::PrefillStateOf(const std::string& service) {
-  return lines_.try_emplace(service, parameters_).first->second;
+  return prefill_states_.try_emplace(service, parameters_).first->second;
 }
 
-// What a request is worth against the others of its route grows with its size.
-double ServingCore::WorthOf(const Flow& flow) {
+// The value of a request relative to others of its route; grows with its size.
+double ServingCore::ValueOf(const Flow& flow) {
   constexpr double kBase = 0.3;
-  constexpr double kMost = 4;
+  constexpr double kMax = 4;
   constexpr double kOutputWeight = 10;
   constexpr double kStep = 0.02;
   const double size = flow.facts.prompt->tokens + kOutputWeight * flow.facts.prompt->output_tokens;
   RouteStatistics& sizes = route_statistics_[flow.route.name];
   sizes.mean_size += sizes.mean_size == 0 ? size : kStep * (size - sizes.mean_size);
-  return std::min(kMost, kBase + (1 - kBase) * size / std::max(1.0, sizes.mean_size));
+  return std::min(kMax, kBase + (1 - kBase) * size / std::max(1.0, sizes.mean_size));
 }
 
-admission::QueuedPrompt ServingCore::DescribePrompt(const Flow& flow, const PrefillState& line) {
+admission::QueuedPrompt ServingCore::DescribePrompt(const Flow& flow, const PrefillState& state) {
   admission::QueuedPrompt prompt;
   prompt.id = flow.id;
   prompt.arrived = flow.arrived;
-  prompt.ends = flow.ends;
+  prompt.ends = flow.expires_at;
   prompt.route_priority = flow.route.priority;
-  prompt.worth = flow.worth;
+  prompt.worth = flow.value;
   prompt.prefill_cost_ms = std::max(1.0, selector_.MinPrefillMs(engines_, flow.service, *flow.facts.prompt, now_));
-  const double tail =
-      line.decode_start_ms > 0 ? line.decode_start_ms : parameters_.initial_decode_start_share * ObjectiveMs(flow);
-  const double mean_ms = ToSeconds(line.readers.mean_latency()) * kInMilliseconds;
-  // A first guess is no reason to give an objective up.
-  const double reading = selector_.reading().learned() ? std::max(prompt.prefill_cost_ms, mean_ms) : mean_ms;
-  const double ahead = reading + tail;
+  const double decode_start =
+      state.decode_start_ms > 0 ? state.decode_start_ms : parameters_.initial_decode_start_share * ObjectiveMs(flow);
+  const double mean_ms = ToSeconds(state.prefill_window.mean_latency()) * kInMilliseconds;
+  // Until prefill times are measured, the estimate of this prompt's cost must not make it count as late.
+  const double prefill_time_ms = selector_.reading().learned() ? std::max(prompt.prefill_cost_ms, mean_ms) : mean_ms;
+  const double ahead = prefill_time_ms + decode_start;
   prompt.prefill_deadline = flow.arrived + flow.route.objective - FromSeconds(ahead * kMillisecond);
   return prompt;
 }
 
-// Returns false where the prompt cannot be read apart.
+// Returns false if the prompt cannot be prefilled separately.
 bool ServingCore::EnqueuePrefill(Flow& flow) {
   if (parameters_.prefill_order == admission::QueuePolicy::None) return StartPrefill(flow);
   if (flow.prefills > 0 && retry_budget_share_.Left(flow.service, now_) < 1) return false;
-  if (!selector_.HasPrefillEngine(engines_, flow.service, flow.tried)) return false;
-  PrefillState& line = PrefillStateOf(flow.service);
-  if (flow.worth == 0) flow.worth = WorthOf(flow);
-  line.order->add(DescribePrompt(flow, line));
-  line.wait_deadlines.emplace(now_ + FromSeconds(ToSeconds(flow.route.objective) * parameters_.wait_deadline_share),
-                              flow.id);
+  if (!selector_.HasPrefillEngine(engines_, flow.service, flow.tried_engines)) return false;
+  PrefillState& state = PrefillStateOf(flow.service);
+  if (flow.value == 0) flow.value = ValueOf(flow);
+  state.queue->add(DescribePrompt(flow, state));
+  state.wait_deadlines.emplace(now_ + FromSeconds(ToSeconds(flow.route.objective) * parameters_.wait_deadline_share),
+                               flow.id);
   flow.queued = true;
   flow.engine_wait_ends.reset();
-  dispatch_wanted_ = true;
+  dispatch_pending_ = true;
   ScheduleWakeUp(flow);
   return true;
 }
@@ -69,31 +69,31 @@
 void ServingCore::Dequeue(Flow& flow) {
   if (!flow.queued) return;
   flow.queued = false;
-  PrefillStateOf(flow.service).order->remove(flow.id);
+  PrefillStateOf(flow.service).queue->remove(flow.id);
 }
 
 void ServingCore::DispatchAllPrefills() {
-  dispatch_wanted_ = false;
+  dispatch_pending_ = false;
   next_dispatch_.reset();
-  for (auto& [service, line] : lines_) {
-    SizeWindows(service, line);
-    DispatchPrefills(line);
-    if (line.order->size() == 0) continue;
+  for (auto& [service, state] : prefill_states_) {
+    SizeWindows(service, state);
+    DispatchPrefills(state);
+    if (state.queue->size() == 0) continue;
     Time next = now_ + parameters_.dispatch_interval;
-    if (!line.wait_deadlines.empty()) next = std::min(next, line.wait_deadlines.begin()->first);
+    if (!state.wait_deadlines.empty()) next = std::min(next, state.wait_deadlines.begin()->first);
     next_dispatch_ = next_dispatch_ ? std::min(*next_dispatch_, next) : next;
   }
-  dispatch_wanted_ = false;
+  dispatch_pending_ = false;
 }
 
-void ServingCore::DispatchPrefills(PrefillState& line) {
+void ServingCore::DispatchPrefills(PrefillState& state) {
   bool started = true;
   while (started) {
     started = false;
-    for (const admission::PrefillCandidate& next : line.order->next(now_, parameters_.dispatch_depth)) {
+    for (const admission::PrefillCandidate& next : state.queue->next(now_, parameters_.dispatch_depth)) {
       Flow* flow = FindFlow(next.id);
       if (flow == nullptr) {
-        line.order->remove(next.id);
+        state.queue->remove(next.id);
         continue;
       }
       if (!DispatchPrefill(*flow, next.lane)) continue;
@@ -102,28 +102,28 @@
       break;
     }
   }
-  ResolveExpiredWaits(line);
+  ResolveExpiredWaits(state);
 }
 
-// The node's part of the engines: by what is asked of it against the others.
-void ServingCore::SizeWindows(const std::string& service, PrefillState& line) {
+// This node's share of the engines is its share of the fleet's prefill demand.
+void ServingCore::SizeWindows(const std::string& service, PrefillState& state) {
   const auto meter = demand_.find(service);
-  const double own = meter == demand_.end() ? 0 : meter->second.prefill.Get(now_);
-  const double all = own + line.peer_demand;
-  const double share = all > 0 ? own / all : 1.0 / nodes_;
-  const EngineCount readers = selector_.CountEngines(engines_, service, EngineStage::kPrefill, now_);
-  line.readers.set_capacity(readers.engines, share, readers.peers_outstanding);
-  const EngineCount answering = selector_.CountEngines(engines_, service, EngineStage::kDecode, now_);
-  line.overflow.set_capacity(answering.engines, share, answering.peers_outstanding);
+  const double local = meter == demand_.end() ? 0 : meter->second.prefill.Get(now_);
+  const double all = local + state.peer_demand;
+  const double share = all > 0 ? local / all : 1.0 / nodes_;
+  const EngineCount prefill_engines = selector_.CountEngines(engines_, service, EngineStage::kPrefill, now_);
+  state.prefill_window.set_capacity(prefill_engines.engines, share, prefill_engines.peers_outstanding);
+  const EngineCount decode_engines = selector_.CountEngines(engines_, service, EngineStage::kDecode, now_);
+  state.decode_window.set_capacity(decode_engines.engines, share, decode_engines.peers_outstanding);
 }
 
 bool ServingCore::DispatchPrefill(Flow& flow, admission::Lane lane) {
   const double share = lane == admission::Lane::Late ? parameters_.late_window_share : 1.0;
-  PrefillState& line = PrefillStateOf(flow.service);
-  if (line.readers.has_room(share) && StartPrefill(flow)) {
-    OccupyWindow(flow, line.readers);
-  } else if (parameters_.allows_overflow && line.overflow.has_room(share) && StartOverflowPrefill(flow)) {
-    OccupyWindow(flow, line.overflow);
+  PrefillState& state = PrefillStateOf(flow.service);
+  if (state.prefill_window.has_room(share) && StartPrefill(flow)) {
+    OccupyWindow(flow, state.prefill_window);
+  } else if (parameters_.allows_overflow && state.decode_window.has_room(share) && StartOverflowPrefill(flow)) {
+    OccupyWindow(flow, state.decode_window);
   } else {
     return false;
   }
@@ -133,13 +133,13 @@
 bool ServingCore::StartPrefill(Flow& flow) {
   const bool extra = flow.prefills > 0;
   int& unsettled_calls = PrefillStateOf(flow.service).unsettled_calls;
-  // A first reading costs an extra arrival only where it is refused, but then it does.
-  const bool may = extra ? retry_budget_share_.Left(flow.service, now_) >= 1
-                         : retry_budget_share_.MayStartUnsettled(flow.service, now_, unsettled_calls);
-  if (!may) return false;
+  // A first prefill is charged to the retry budget only if it is refused.
+  const bool allowed = extra ? retry_budget_share_.Left(flow.service, now_) >= 1
+                             : retry_budget_share_.MayStartUnsettled(flow.service, now_, unsettled_calls);
+  if (!allowed) return false;
   EstimateUnreportedWork(flow.service);
   EngineState* engine = selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kPrefill, *flow.facts.prompt,
-                                                      flow.tried, now_);
+                                                      flow.tried_engines, now_);
   if (engine == nullptr) return false;
   if (extra) ChargeRetryBudget(flow, ExtraArrival::kPrefillRetried);
   ++flow.prefills;
@@ -151,7 +151,7 @@
   return true;
 }
 
-// The newest attempt of the flow takes a place of the window.
+// The flow's newest attempt occupies a slot of the window.
 void ServingCore::OccupyWindow(Flow& flow, admission::ConcurrencyWindow& window) {
   Attempt& attempt = flow.attempts.rbegin()->second;
   attempt.window = &window;
@@ -161,79 +161,77 @@
 
 Duration ServingCore::PrefillTarget(const Flow& flow, const Attempt& attempt) const {
   const double share_ms = parameters_.prefill_target_share * ObjectiveMs(flow);
-  const double stretch = parameters_.prefill_target_factor * (attempt.mode == AttemptMode::kPrefill ? 1 : 2);
-  return FromSeconds(kMillisecond *
-                     std::max(share_ms, stretch * selector_.reading().predict_ms(attempt.prompt_tokens)));
+  const double factor = parameters_.prefill_target_factor * (attempt.mode == AttemptMode::kPrefill ? 1 : 2);
+  return FromSeconds(kMillisecond * std::max(share_ms, factor * selector_.reading().predict_ms(attempt.prompt_tokens)));
 }
 
 void ServingCore::RecordPrefillDone(const Attempt& attempt) {
   if (attempt.window != nullptr) attempt.window->record_latency(now_, now_ - attempt.sent_at, attempt.target);
 }
 
-// Engines that answer can read as well, at half the pace.
+// Prefills the prompt at a decode engine, which takes twice as long.
 bool ServingCore::StartOverflowPrefill(Flow& flow) {
   if (flow.arrivals > 0 && retry_budget_share_.Left(flow.service, now_) < 1) return false;
-  EngineState* engine =
-      selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kDecode, *flow.facts.prompt, flow.tried, now_);
+  EngineState* engine = selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kDecode, *flow.facts.prompt,
+                                                      flow.tried_engines, now_);
   if (engine == nullptr || engine->IsOutOfService(now_)) return false;
   if (selector_.EstimatedLoad(*engine, now_) > parameters_.overflow_max_utilization * engine->record.slots)
     return false;
-  constexpr double kReadsSlower = 2;
-  const int tokens = UnsharedTokens(*flow.facts.prompt);  // The rest is copied, or kept there.
-  const double reading_ms = kReadsSlower * selector_.reading().predict_ms(tokens);
-  if (reading_ms > parameters_.overflow_prefill_share * ObjectiveMs(flow)) return false;
+  constexpr double kDecodePrefillSlowdown = 2;
+  const int tokens = UnsharedTokens(*flow.facts.prompt);  // The shared parts are cached there or copied.
+  const double prefill_ms = kDecodePrefillSlowdown * selector_.reading().predict_ms(tokens);
+  if (prefill_ms > parameters_.overflow_prefill_share * ObjectiveMs(flow)) return false;
   if (flow.arrivals > 0) ChargeRetryBudget(flow, ExtraArrival::kExecutionRetried);
   ++flow.arrivals;
   Start(flow, *engine, AttemptMode::kWhole);
   return true;
 }
 
-// What no engine had room for by then is committed, where it will still be read in
-// time after all that were committed before it; else it is refused while its
-// caller can still come back in time.
-void ServingCore::ResolveExpiredWaits(PrefillState& line) {
-  while (!line.wait_deadlines.empty() && line.wait_deadlines.begin()->first <= now_) {
-    Flow* flow = FindFlow(line.wait_deadlines.begin()->second);
-    line.wait_deadlines.erase(line.wait_deadlines.begin());
+// A prompt whose wait has expired is committed if it can still be prefilled in time after all prompts committed before
+// it. Otherwise it is refused while its client still has time for a retry.
+void ServingCore::ResolveExpiredWaits(PrefillState& state) {
+  while (!state.wait_deadlines.empty() && state.wait_deadlines.begin()->first <= now_) {
+    Flow* flow = FindFlow(state.wait_deadlines.begin()->second);
+    state.wait_deadlines.erase(state.wait_deadlines.begin());
     if (flow == nullptr || !flow->queued || !parameters_.sheds_load) continue;
-    if (flow->runs > 0 || flow->relaying) continue;  // A refusal would be a false promise.
-    const Duration wait = line.readers.mean_slot_interval() * static_cast<int>(line.order->committed() + 1);
-    // Engines that have not answered yet promise nothing.
-    const bool measured = line.readers.mean_latency() > 0s;
-    if (measured && now_ + wait <= DescribePrompt(*flow, line).prefill_deadline) {
-      line.order->commit(flow->id);
+    if (flow->executions > 0 || flow->relaying) continue;  // A refusal would wrongly promise that it was not executed.
+    const Duration wait = state.prefill_window.mean_slot_interval() * static_cast<int>(state.queue->committed() + 1);
+    // Without measurements there is no estimate to base a commitment on.
+    const bool measured = state.prefill_window.mean_latency() > 0s;
+    if (measured && now_ + wait <= DescribePrompt(*flow, state).prefill_deadline) {
+      state.queue->commit(flow->id);
       continue;
     }
-    if (measured && DispatchOverLimit(*flow, line)) continue;
+    if (measured && DispatchOverLimit(*flow, state)) continue;
     MeterPrefillDemand(*flow, UnsharedTokens(*flow->facts.prompt), true);
-    Refuse(*flow, "no engine had room to read it", JitteredRetryAfter(*flow));
+    Refuse(*flow, "no prefill capacity", JitteredRetryAfter(*flow));
   }
 }
 
-// While readings come back well within their targets, a full window only lags
-// behind a swing: it is no reason to refuse.
-bool ServingCore::DispatchOverLimit(Flow& flow, PrefillState& line) {
-  if (line.readers.ratio() >= parameters_.shedding_ratio) return false;
-  if (!line.readers.has_room(parameters_.over_limit_factor) || !StartPrefill(flow)) return false;
-  OccupyWindow(flow, line.readers);
+// While prefills complete well within their targets, a full window only means that its size lags behind a change of
+// load, which is no reason to refuse.
+bool ServingCore::DispatchOverLimit(Flow& flow, PrefillState& state) {
+  if (state.prefill_window.ratio() >= parameters_.shedding_ratio) return false;
+  if (!state.prefill_window.has_room(parameters_.over_limit_factor) || !StartPrefill(flow)) return false;
+  OccupyWindow(flow, state.prefill_window);
   Dequeue(flow);
   return true;
 }
 
-// As late as callers follow, spread so that they do not come back together:
-// what comes back into the same surge is refused once more.
+// As long as clients are willing to wait, with jitter so that they do not retry at the same time. A retry that arrives
+// during the same surge would be refused again.
 Duration ServingCore::JitteredRetryAfter(const Flow& flow) {
-  constexpr double kFollowedShare = 0.33;  // Of the time left; callers wait no longer.
+  constexpr double kMaxWaitShare = 0.33;  // Clients follow a Retry-After of up to this share of their remaining time.
   constexpr double kSpread = 0.5;
-  return FromSeconds(kFollowedShare * ToSeconds(flow.ends - now_) * (1 - kSpread * random_.Unit()));
+  return FromSeconds(kMaxWaitShare * ToSeconds(flow.expires_at - now_) * (1 - kSpread * random_.Unit()));
 }
 
 void ServingCore::RecordDecodeStart(const Flow& flow) {
   constexpr double kStep = 0.1;
-  if (!flow.read_at) return;
-  const double tail = ToSeconds(now_ - *flow.read_at) * kInMilliseconds;
+  if (!flow.prefilled_at) return;
+  const double decode_start = ToSeconds(now_ - *flow.prefilled_at) * kInMilliseconds;
   double& known = PrefillStateOf(flow.service).decode_start_ms;
-  known += known == 0 ? tail : kStep * (tail - known);
+  known += known == 0 ? decode_start : kStep * (decode_start - known);
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/retry_budget_share.h
+++ b/src/core/serving/retry_budget_share.h
@@ -1,11 +1,10 @@
-// Bounds this node's part of a fleet-wide retry budget without any talk.
+// This node's share of the fleet-wide retry budget, computed without coordination.
 //
-// The budget: within every window, arrivals at a service's engines beyond the
-// first of each request stay under ratio x requests + slack, summed over all
-// nodes. Each node spends its own ratio and an equal share of the slack. It has
-// no share of the slack in the first window of its process, whose predecessor may have
-// spent it, and shares it with all nodes that it knew for a long time: those that it hears no
-// more may be cut off and spend theirs.
+// The budget: within every window, arrivals at a service's engines beyond the first of each request ("extra arrivals")
+// stay below ratio x requests + slack, summed over all nodes. Each node spends the ratio of its own requests and an
+// equal share of the slack. A process gets no slack in its first window, since its predecessor may have spent it. The
+// slack is divided among all nodes known over a long time: a node that is no longer heard from may be partitioned and
+// still spend its share.
 #pragma once
 
 #include <algorithm>
@@ -19,11 +18,11 @@
 
 namespace saltquay::serving {
 
-// Why an arrival counts against the budget.
+// Why an arrival is charged to the budget.
 enum class ExtraArrival {
-  kExecutionRetried,  // A run after the first.
-  kPrefillRetried,    // A reading of the prompt after the first.
-  kPrefillRefused,    // The first reading, which the engine did not take up.
+  kExecutionRetried,  // An execution after the first.
+  kPrefillRetried,    // A prefill of the prompt after the first.
+  kPrefillRefused,    // The first prefill, which the engine did not accept.
 };
 
 inline std::string_view NameOf(ExtraArrival cause) {
@@ -36,8 +35,8 @@
   Duration window = 10s;
   double slack = 0;
   double safety = 0.8;
-  // Nodes that were there so long ago still have their share of the slack, in windows. A cut that lasts longer lets
-  // each side take the whole.
+  // For how many windows a node that has disappeared keeps its share of the slack. In a network partition that lasts
+  // longer, each side spends the whole slack.
   int node_count_windows = 12;
 };
 
@@ -46,51 +45,49 @@
   explicit RetryBudgetShare(const RetryBudgetBounds& bounds)
       : bounds_(bounds), counts_(bounds.node_count_windows * bounds.window) {}
 
-  // This process may not be the node's first: what an earlier one spent in this window is not known.
+  // Call if this may not be the node's first process: what the earlier one spent in this window is not known.
   void BeginAfterRestart(Time now) { slack_available_from_ = now + bounds_.window; }
 
-  // `nodes`: how many share the slack now. The most of the remembered windows count.
+  // `nodes`: how many nodes share the slack now. The maximum over the remembered windows is used.
   void set_nodes(int nodes, Time now) {
     counts_.Note(std::max(1, nodes), now);
     nodes_ = counts_.Get();
   }
 
   void NoteRequest(const std::string& service, Time now) { PrunedUsage(service, now).requests.push_back(now); }
-  // An extra arrival that was not asked for beforehand.
+  // Charges an extra arrival without checking the budget.
   void RecordExtraArrival(const std::string& service, Time now) { PrunedUsage(service, now).extras.push_back(now); }
 
-  // Takes one extra arrival beside what `unsettled_calls` calls may cost; returns false
-  // when the window's share is spent.
+  // Charges one extra arrival; returns false if the share of this window, less the expected charges of
+  // `unsettled_calls` calls, is spent.
   bool TryTake(const std::string& service, Time now, int unsettled_calls = 0) {
     if (!MayTake(service, now, unsettled_calls)) return false;
     RecordExtraArrival(service, now);
     return true;
   }
-  // The same, without taking it.
+  // The same check without the charge.
   bool MayTake(const std::string& service, Time now, int unsettled_calls) {
-    return Left(service, now) >= 1 + usage_[service].refused_share * unsettled_calls;
+    return Left(service, now) >= 1 + usage_[service].refusal_rate * unsettled_calls;
   }
 
-  // Whether one more call may be sent that costs an extra arrival only if it is
-  // refused, with `unsettled_calls` such calls under way: as long as what they will
-  // cost by the share of late that was refused is left.
+  // Whether one more call may be sent that is charged only if it is refused, with `unsettled_calls` such calls in
+  // flight: the expected charges, by the recent share of refusals, must be covered.
   bool MayStartUnsettled(const std::string& service, Time now, int unsettled_calls) {
-    const double expected = usage_[service].refused_share * (unsettled_calls + 1);
+    const double expected = usage_[service].refusal_rate * (unsettled_calls + 1);
     return Left(service, now) >= expected;
   }
-  // The outcome of a call at risk. The share follows refusals at once and
-  // forgets them slowly.
+  // Records the outcome of such a call. The average rises quickly with refusals and decays slowly.
   void RecordSettledCall(const std::string& service, bool refused) {
     constexpr double kUp = 0.4;
     constexpr double kDown = 0.03;
-    double& share = usage_[service].refused_share;
+    double& share = usage_[service].refusal_rate;
     share += refused ? kUp * (1 - share) : -kDown * share;
   }
 
-  // How many share the slack, by the most of the remembered windows.
+  // How many nodes share the slack: the maximum over the remembered windows.
   int sharers() const { return nodes_; }
 
-  // Extra arrivals that are left now.
+  // Extra arrivals that may still be spent now.
   double Left(const std::string& service, Time now) {
     const Usage& usage = PrunedUsage(service, now);
     const double earned = bounds_.ratio * static_cast<double>(usage.requests.size());
@@ -100,13 +97,13 @@
   }
 
  private:
-  // Nodes that may be added before they are heard of.
+  // Allows for nodes that have joined but are not known yet.
   static constexpr int kUnseenNodes = 1;
 
   struct Usage {
     std::deque<Time> requests;
     std::deque<Time> extras;
-    double refused_share = 0;  // Of the calls at risk, lately.
+    double refusal_rate = 0;  // Recent share of unsettled calls that were refused.
   };
 
   Usage& PrunedUsage(const std::string& service, Time now) {
@@ -119,8 +116,8 @@
 
   RetryBudgetBounds bounds_;
   Time slack_available_from_{};
-  // Until the peers are known a node has no part of the slack: with many nodes, all of them started again at once,
-  // a guess would be spent many times over.
+  // Until the peers are known, a node gets practically no slack. If many nodes restarted at once and each assumed a
+  // node count, the slack would be spent many times over.
   int nodes_ = 1000000;
   SlidingMaximum counts_;
   std::map<std::string, Usage> usage_;
--- a/src/core/serving/retry_budget_steps.cc
+++ b/src/core/serving/retry_budget_steps.cc
@@ -1,4 +1,4 @@
-// What calls to engines cost of the retry budget; see retry_allowance.h.
+// Charges to the retry budget; see retry_budget_share.h.
 #include <fmt/format.h>
 
 #include "src/core/serving/serving_core.h"
@@ -13,10 +13,10 @@
   actions_->push_back(ExtraArrivalCounted{flow.service, cause});
 }
 
-void ServingCore::SettleFirstPrefill(const Flow& flow, bool taken_up) {
+void ServingCore::SettleFirstPrefill(const Flow& flow, bool accepted) {
   if (flow.prefills != 1) return;
-  if (!taken_up) ChargeRetryBudget(flow, ExtraArrival::kPrefillRefused);
-  retry_budget_share_.RecordSettledCall(flow.service, !taken_up);
+  if (!accepted) ChargeRetryBudget(flow, ExtraArrival::kPrefillRefused);
+  retry_budget_share_.RecordSettledCall(flow.service, !accepted);
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/round_robin.h
+++ b/src/core/serving/round_robin.h
@@ -1,4 +1,4 @@
-// Some of many, others each time.
+// Selects a bounded number of items in round-robin order.
 #pragma once
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace saltquay::serving {
 
-// Returns at most `most` of `items`, from where `next` stands on, and moves it behind them.
+// Returns at most `most` of `items`, starting at index `next`, and advances `next` past them.
 template <typename Item>
 std::vector<Item> TakeRoundRobin(std::vector<Item> items, std::size_t most, std::size_t& next) {
   if (items.size() <= most) return items;
--- a/src/core/serving/serving_config.h
+++ b/src/core/serving/serving_config.h
@@ -1,6 +1,6 @@
-// The configuration that a gateway serves under: routes, services, limits.
-// Published by operators as numbered versions; a node never goes back to an
-// older one in one life of its process.
+// The configuration of a gateway: routes, services, tenants and ingress limits.
+//
+// Operators publish it as numbered versions. A node process never goes back to an older version.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
 namespace saltquay::serving {
 
 enum class RouteKind {
-  kRepeatable,  // May run more than once.
+  kRepeatable,  // May be executed more than once.
   kAtMostOnce,
-  kStreaming,  // Answers with events; at most once unless resumable.
+  kStreaming,  // The response is an event stream; executed at most once unless the route is resumable.
 };
 
 struct WeightedService {
@@ -32,40 +32,40 @@
   std::vector<WeightedService> services;
   RouteKind kind = RouteKind::kAtMostOnce;
   Duration timeout = 10s;
-  Duration objective = 1s;              // Within it an answer (or its first event) has its full worth.
-  Duration inter_event_objective = 0s;  // Longest pause between events; zero where none is set.
+  Duration objective = 1s;              // A response, or a stream's first event, has its full value within it.
+  Duration inter_event_objective = 0s;  // Latency objective between two events of a stream; zero if none is set.
   int max_attempts = 1;
   int priority = 5;            // 0 is the most urgent.
-  bool prefix_affine = false;  // Requests name the parts of their prompts.
+  bool prefix_affine = false;  // Requests declare the parts of their prompts.
   bool resumable = false;
-  bool allows_anonymous = false;  // Callers need no key, where the configuration asks for keys at all.
+  bool allows_anonymous = false;  // No API key needed even if the configuration requires keys.
 
   bool repeatable() const { return kind == RouteKind::kRepeatable || (kind == RouteKind::kStreaming && resumable); }
 };
 
-// What the engines of a language-model service have in common.
+// Properties shared by all engines of a language-model service.
 struct LanguageEngineTraits {
   int slots = 0;
   std::int64_t kv_capacity_tokens = 0;
   std::int64_t kv_token_bytes = 0;
   double link_mbps = 0;
-  Duration kv_handle_lifetime = 5s;  // How long a prompt that was read waits to be taken.
-  Duration role_change = 2s;         // How long an engine is away when its stage changes.
+  Duration kv_handle_lifetime = 5s;  // How long a prefill engine keeps a KV cache handle.
+  Duration role_change = 2s;         // How long an engine is unavailable while its stage changes.
 };
 
-// How many engines of a service may be ordered, and what they cost.
+// How many engines of a service may be provisioned, and at what price.
 struct ScalingTraits {
-  int min = 0;  // In each zone, of both kinds together.
+  int min = 0;  // Per zone, ordinary and spot engines together.
   int max = 0;
-  Duration boot = 0s;                         // From an order until the engine serves.
-  std::optional<double> spot_price;           // As a share of an ordinary engine's; nothing: there are none.
-  std::map<std::string, double> zone_prices;  // Of an ordinary engine for a second, by zone.
+  Duration boot = 0s;                // From the provisioning order until the engine serves.
+  std::optional<double> spot_price;  // As a share of an ordinary engine's price; unset if there are no spot engines.
+  std::map<std::string, double> zone_prices;  // Price of an ordinary engine per second, by zone.
 };
 
 struct Service {
   std::string name;
   std::string health_path;
-  int max_connections = 0;  // Per engine, of all callers together; 0: no limit.
+  int max_connections = 0;  // Per engine, over all clients; 0: no limit.
   std::optional<LanguageEngineTraits> language;
   std::optional<ScalingTraits> scaling;
 };
@@ -82,11 +82,10 @@
   std::vector<Route> routes;
   std::vector<Service> services;
   IngressLimits limits;
-  bool requires_keys = false;  // Callers name their tenant by a key.
+  bool requires_keys = false;  // Clients authenticate with an API key, which identifies their tenant.
   std::vector<Tenant> tenants;
 
-  // Returns the route for the host and path: of those for the host, the one
-  // with the longest prefix that begins the path; nullptr where there is none.
+  // Returns the host's route with the longest prefix of the path, or nullptr if no route matches.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
   const Service* FindService(std::string_view name) const;
 };
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -21,14 +21,14 @@
   std::visit([this](const auto& typed) { On(typed); }, event);
   if (!crash_detector_.empty()) HandleCrashedEngines();
   if (limiter_ != nullptr) StepLimiter();
-  if (dispatch_wanted_ || (next_dispatch_ && now_ >= *next_dispatch_)) DispatchAllPrefills();
+  if (dispatch_pending_ || (next_dispatch_ && now_ >= *next_dispatch_)) DispatchAllPrefills();
   actions_ = nullptr;
 }
 
 std::optional<Time> ServingCore::next_deadline() const {
   std::optional<Time> next = limiter_ == nullptr ? std::nullopt : limiter_->next_deadline();
   const auto consider = [&next](Time at) { next = next ? std::min(*next, at) : at; };
-  if (!deadlines_.empty()) consider(deadlines_.begin()->first);
+  if (!wake_up_queue_.empty()) consider(wake_up_queue_.begin()->first);
   if (next_dispatch_) consider(*next_dispatch_);
   return next;
 }
@@ -89,17 +89,17 @@
     engine.peers_prompt_tokens = work == event.work.end() ? 0 : work->second.prompt_tokens;
   }
   for (const HealthChange& change : engines_.EjectByFleetOutcomes(event.work, random_.Unit(), now_))
-    LogEngineStanding(change);
+    LogEngineHealth(change);
   for (const KeptPart& kept : event.kept) selector_.RecordCachedPart(kept, now_);
   for (const EngineHold& hold : event.holds) {
     if (EngineState* engine = engines_.Find(hold.engine_id)) engine->held_until = now_ + hold.left;
   }
   for (const ServiceDemand& demand : event.demand) {
-    PrefillState& line = PrefillStateOf(demand.service);
-    line.peer_demand = demand.prefill_engines;
-    if (demand.reading_depth > 0) line.readers.blend_depth(demand.reading_depth);
+    PrefillState& state = PrefillStateOf(demand.service);
+    state.peer_demand = demand.prefill_engines;
+    if (demand.reading_depth > 0) state.prefill_window.blend_depth(demand.reading_depth);
   }
-  dispatch_wanted_ = true;
+  dispatch_pending_ = true;
 }
 
 std::vector<EngineWork> ServingCore::OwnWork(Time now) {
@@ -118,40 +118,41 @@
 std::vector<ServiceDemand> ServingCore::OwnDemand(Time now) {
   std::vector<ServiceDemand> demand;
   for (auto& [service, meter] : demand_) {
-    const auto line = lines_.find(service);
-    const double depth = line == lines_.end() ? 0 : line->second.readers.depth();
+    const auto state = prefill_states_.find(service);
+    const double depth = state == prefill_states_.end() ? 0 : state->second.prefill_window.depth();
     demand.push_back({service, meter.prefill.Get(now), meter.decode.Get(now), depth, 1, {}, meter.reading.Get(now)});
   }
   return demand;
 }
 
-// Reading is asked for once by each request, whether an engine had room or not;
-// reading once more is the engines' failure, not the callers' demand.
-void ServingCore::MeterPrefillDemand(Flow& flow, std::int64_t tokens, bool apart) {
+// Each request demands one prefill, whether or not an engine has capacity for it. Repeated prefills are caused by
+// engine failures and are not demand.
+void ServingCore::MeterPrefillDemand(Flow& flow, std::int64_t tokens, bool separate) {
   constexpr double kSecond = 1000;
-  constexpr double kDecodeReadsSlower = 2;
+  constexpr double kDecodePrefillSlowdown = 2;
   if (!flow.language || flow.prefill_metered) return;
   flow.prefill_metered = true;
   const double seconds = static_cast<double>(tokens) / selector_.read_rate() / kSecond;
   DemandMeter& meter = demand_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
-  if (apart) {
+  if (separate) {
     meter.prefill.Add(seconds, now_);
-    const double pace = std::max(selector_.reading().rate(), selector_.read_rate());
-    meter.reading.Add(static_cast<double>(tokens) / pace / kSecond, now_);
+    const double prefill_rate = std::max(selector_.reading().rate(), selector_.read_rate());
+    meter.reading.Add(static_cast<double>(tokens) / prefill_rate / kSecond, now_);
   } else {
-    meter.decode.Add(kDecodeReadsSlower * seconds, now_);
+    meter.decode.Add(kDecodePrefillSlowdown * seconds, now_);
   }
 }
 
-// Answering is asked for by the share of an engine that it kept, and how long.
+// Decode demand is the share of an engine that the attempt occupied, times its duration.
 void ServingCore::MeterDecodeDemand(const Flow& flow, const Attempt& attempt) {
   if (!flow.language || attempt.mode == AttemptMode::kPrefill) return;
   const Service* service = config_ ? config_->FindService(flow.service) : nullptr;
   if (service == nullptr || !service->language) return;
   const LanguageEngineTraits& traits = *service->language;
   const double slots = std::max(1.0, parameters_.target_utilization * traits.slots);
-  const double memory = std::max(1.0, parameters_.target_utilization * static_cast<double>(traits.kv_capacity_tokens));
-  const double share = std::max(1.0 / slots, flow.facts.prompt->tokens / memory);
+  const double kv_capacity =
+      std::max(1.0, parameters_.target_utilization * static_cast<double>(traits.kv_capacity_tokens));
+  const double share = std::max(1.0 / slots, flow.facts.prompt->tokens / kv_capacity);
   DemandMeter& meter = demand_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
   meter.decode.Add(share * ToSeconds(now_ - attempt.sent_at), now_);
 }
@@ -169,18 +170,19 @@
 
 void ServingCore::On(const RequestArrived& event) {
   constexpr int kNotFound = 404;
-  auto owned = std::make_unique<Flow>();
-  Flow& flow = *owned;
+  auto new_flow = std::make_unique<Flow>();
+  Flow& flow = *new_flow;
   flow.id = event.flow;
   flow.facts = event.facts;
   flow.arrived = now_;
   flow.last_event_id = event.facts.last_event_id;
-  flows_[flow.id] = std::move(owned);
-  if (!ready()) return Refuse(flow, "no configuration yet");
+  flows_[flow.id] = std::move(new_flow);
+  if (!ready()) return Refuse(flow, "no configuration received yet");
   const Route* route = config_->FindRoute(event.facts.host, event.facts.path);
   if (route == nullptr) {
-    // An unknown route is certain only while the store is heard.
-    return store_connected_ ? Fail(flow, kNotFound, "no route") : Refuse(flow, "no route known, store not heard");
+    // Only a node that is connected to the store can tell that a route does not exist.
+    return store_connected_ ? Fail(flow, kNotFound, "no route")
+                            : Refuse(flow, "no matching route, store not connected");
   }
   flow.route = *route;
   if (!Authenticate(flow)) return;
@@ -189,10 +191,10 @@
   flow.service = ChooseService(*route);
   const Service* service = config_->FindService(flow.service);
   flow.language = service != nullptr && service->language && flow.facts.prompt;
-  const Duration patience = std::min(route->timeout, event.facts.deadline.value_or(route->timeout));
-  flow.ends =
+  const Duration time_limit = std::min(route->timeout, event.facts.deadline.value_or(route->timeout));
+  flow.expires_at =
       now_ +
-      std::max(1ms, std::chrono::duration_cast<std::chrono::milliseconds>(patience - parameters_.response_margin));
+      std::max(1ms, std::chrono::duration_cast<std::chrono::milliseconds>(time_limit - parameters_.response_margin));
   if (route->kind == RouteKind::kRepeatable) {
     flow.hedge_at = now_ + FromSeconds(ToSeconds(route->objective) * parameters_.hedge_delay_share);
   }
@@ -211,22 +213,23 @@
     if (tenant->limit && tenant->limit->rate_per_s > 0) flow.limit_cost = CostOf(*tenant->limit, flow.facts);
     return true;
   }
-  // A key may have been handed out since this node last heard of the configuration; a missing one never helps.
+  // An unknown key may have been issued since this node last received a configuration; a missing key is always an
+  // error.
   if (key.empty()) {
-    Fail(flow, kUnauthorized, "no key");
+    Fail(flow, kUnauthorized, "missing API key");
   } else if (store_connected_) {
-    Fail(flow, kUnauthorized, "unknown key");
+    Fail(flow, kUnauthorized, "unknown API key");
   } else {
-    Refuse(flow, "unknown key, store not heard");
+    Refuse(flow, "unknown API key, store not connected");
   }
   return false;
 }
 
-// A language engine begins with the first token, which is in its answer's head; others begin when a request reaches
-// them, and answer when they are done.
+// A language engine starts executing with the first token, when it also sends its response head. Other engines start
+// when the request arrives and send their response when they are done.
 void ServingCore::CountTenantUsage(Flow& flow, const Attempt& attempt) {
-  if (flow.counted || flow.tenant.empty() || attempt.mode == AttemptMode::kPrefill) return;
-  flow.counted = true;
+  if (flow.usage_counted || flow.tenant.empty() || attempt.mode == AttemptMode::kPrefill) return;
+  flow.usage_counted = true;
   actions_->push_back(ExecutionStarted{flow.tenant, flow.language ? now_ : attempt.sent_at});
 }
 
@@ -240,8 +243,8 @@
   if (flow == nullptr) return;
   CountUnansweredUsage(*flow);
   Log(EventId::kClientLeft, flow, fmt::format(R"("attempts":{})", flow->attempts.size()));
-  const bool lets_run = flow->route.kind == RouteKind::kAtMostOnce;
-  if (lets_run) {
+  const bool keeps_running = flow->route.kind == RouteKind::kAtMostOnce;
+  if (keeps_running) {
     TrackDetachedAttempts(*flow);
   } else {
     CancelAttempts(*flow, 0);
@@ -258,19 +261,19 @@
   if (flow == nullptr || !flow->attempts.contains(event.attempt)) return;
   Attempt& attempt = flow->attempts[event.attempt];
   attempt.head_seen = true;
-  attempt.answer = event.answer;
-  crash_detector_.NoteHeard(attempt.engine_id, attempt.sent_at, now_);
-  if (event.answer.load) engines_.RecordLoad(attempt.engine_id, *event.answer.load, now_);
-  if (!event.answer.not_executed) {
-    // An engine that stops at the request's end was late, not sick.
-    const bool time_ran_out = event.answer.status == kGatewayTimeout && now_ + kEndTolerance >= flow->ends;
-    const bool failed = event.answer.status >= kFirstError && !time_ran_out;
-    LogEngineStanding(engines_.RecordResponse(attempt.engine_id, failed, now_));
+  attempt.response_head = event.response_head;
+  crash_detector_.RecordActivity(attempt.engine_id, attempt.sent_at, now_);
+  if (event.response_head.load) engines_.RecordLoad(attempt.engine_id, *event.response_head.load, now_);
+  if (!event.response_head.not_executed) {
+    // An engine that gives up at the request's deadline was slow; that is no failure.
+    const bool time_ran_out = event.response_head.status == kGatewayTimeout && now_ + kEndTolerance >= flow->expires_at;
+    const bool failed = event.response_head.status >= kFirstError && !time_ran_out;
+    LogEngineHealth(engines_.RecordResponse(attempt.engine_id, failed, now_));
     CountTenantUsage(*flow, attempt);
   }
-  const bool begins = flow->route.kind == RouteKind::kStreaming && attempt.mode != AttemptMode::kPrefill &&
-                      event.answer.status < kFirstRedirect && event.answer.signed_by_engine;
-  if (!begins) return;
+  const bool starts_stream = flow->route.kind == RouteKind::kStreaming && attempt.mode != AttemptMode::kPrefill &&
+                             event.response_head.status < kFirstRedirect && event.response_head.signed_by_engine;
+  if (!starts_stream) return;
   RecordDecodeStart(*flow);
   if (attempt.window != nullptr) RecordPrefillDone(attempt);
   flow->relaying = true;
@@ -284,7 +287,7 @@
   Flow* flow = FindFlow(event.flow);
   if (flow == nullptr || flow->relayed_attempt != event.attempt) return;
   flow->last_event_id = event.last_event_id;
-  crash_detector_.NoteHeard(flow->attempts.at(event.attempt).engine_id, Time{}, now_);
+  crash_detector_.RecordActivity(flow->attempts.at(event.attempt).engine_id, Time{}, now_);
 }
 
 void ServingCore::On(const AttemptCompleted& event) {
@@ -293,46 +296,47 @@
   if (flow == nullptr || !flow->attempts.contains(event.attempt)) return;
   const Attempt attempt = flow->attempts[event.attempt];
   EndAttempt(*flow, event.attempt);
-  crash_detector_.NoteHeard(attempt.engine_id, attempt.sent_at, now_);
-  if (attempt.answer.not_executed) return OnRefusal(*flow, attempt);
+  crash_detector_.RecordActivity(attempt.engine_id, attempt.sent_at, now_);
+  if (attempt.response_head.not_executed) return OnRefusal(*flow, attempt);
   if (attempt.mode == AttemptMode::kPrefill) return FinishPrefill(*flow, attempt, event.handle);
   FinishExecution(*flow, attempt);
 }
 
 void ServingCore::On(const AttemptFailed& event) {
-  if (const auto unattended = detached_attempts_.extract(event.attempt)) {
+  if (const auto detached = detached_attempts_.extract(event.attempt)) {
     if (event.failure == AttemptFailure::kBroken) {
-      RecordBrokenResponse(unattended.mapped().engine_id, unattended.mapped().fingerprint);
+      RecordBrokenResponse(detached.mapped().engine_id, detached.mapped().fingerprint);
     }
     return;
   }
   Flow* flow = FindFlow(event.flow);
   if (flow == nullptr || !flow->attempts.contains(event.attempt)) return;
   const Attempt attempt = flow->attempts[event.attempt];
-  // An answer that was lost had mostly been made; a prompt that is lost had mostly not come to its first token.
+  // A plain request whose response is lost has usually been executed; a prompt has usually not reached its first token.
   if (event.failure != AttemptFailure::kNotSent && !flow->language) CountTenantUsage(*flow, attempt);
   EndAttempt(*flow, event.attempt);
   if (event.failure == AttemptFailure::kBroken) RecordBrokenResponse(attempt.engine_id, flow->fingerprint);
   const EngineState* engine = engines_.Find(attempt.engine_id);
-  const bool unreached = event.failure == AttemptFailure::kNotSent;
-  // One that has answered others since only turns connections away.
-  const bool alive = unreached && engine != nullptr && engine->last_heard > attempt.sent_at;
+  const bool unreachable = event.failure == AttemptFailure::kNotSent;
+  // An engine that has responded to other requests since then is alive and only rejects connections.
+  const bool alive = unreachable && engine != nullptr && engine->last_heard > attempt.sent_at;
   if (alive) {
     engines_.RecordRejection(attempt.engine_id, now_);
   } else {
-    LogEngineStanding(engines_.RecordFailure(attempt.engine_id, unreached ? "no connection" : "answer broken", now_));
+    LogEngineHealth(
+        engines_.RecordFailure(attempt.engine_id, unreachable ? "connection failed" : "response interrupted", now_));
   }
   OnAttemptLost(*flow, attempt, event.failure);
 }
 
 void ServingCore::On(const TimerFired& /*event*/) {
-  while (!deadlines_.empty() && deadlines_.begin()->first <= now_) {
-    const FlowId id = deadlines_.begin()->second;
-    deadlines_.erase(deadlines_.begin());
+  while (!wake_up_queue_.empty() && wake_up_queue_.begin()->first <= now_) {
+    const FlowId id = wake_up_queue_.begin()->second;
+    wake_up_queue_.erase(wake_up_queue_.begin());
     wake_ups_.erase(id);
     Flow* flow = FindFlow(id);
     if (flow == nullptr) continue;
-    if (now_ >= flow->ends) {
+    if (now_ >= flow->expires_at) {
       OnDeadline(*flow);
       continue;
     }
@@ -355,30 +359,30 @@
   return entry == flows_.end() ? nullptr : entry->second.get();
 }
 
-// Sets the flow's next wake-up: its end, its hedge, its wait, or a silent engine.
+// Schedules the flow's next wake-up: its deadline, its hedge, the end of its wait, or an attempt's timeout.
 void ServingCore::ScheduleWakeUp(Flow& flow) {
   constexpr Duration kWaitStep = 20ms;
-  Time at = flow.ends;
+  Time at = flow.expires_at;
   if (flow.hedge_at && *flow.hedge_at > now_) at = std::min(at, *flow.hedge_at);
   if (flow.engine_wait_ends) at = std::min({at, *flow.engine_wait_ends, now_ + kWaitStep});
   for (const auto& [id, attempt] : flow.attempts) {
     if (!attempt.timeout_handled && !attempt.head_seen) at = std::min(at, attempt.times_out_at);
   }
   const auto armed = wake_ups_.find(flow.id);
-  if (armed != wake_ups_.end()) deadlines_.erase({armed->second, flow.id});
+  if (armed != wake_ups_.end()) wake_up_queue_.erase({armed->second, flow.id});
   wake_ups_[flow.id] = at;
-  deadlines_.insert({at, flow.id});
+  wake_up_queue_.insert({at, flow.id});
 }
 
 void ServingCore::Erase(FlowId id) {
   const auto armed = wake_ups_.find(id);
-  if (armed != wake_ups_.end()) deadlines_.erase({armed->second, id});
+  if (armed != wake_ups_.end()) wake_up_queue_.erase({armed->second, id});
   wake_ups_.erase(id);
   Flow* flow = FindFlow(id);
   if (flow == nullptr) return;
   Dequeue(*flow);
   while (!flow->attempts.empty()) EndAttempt(*flow, flow->attempts.begin()->first);
-  if (flow->memory) actions_->push_back(ReleaseKvCache{*flow->memory});
+  if (flow->kv_cache) actions_->push_back(ReleaseKvCache{*flow->kv_cache});
   SettleCharge(*flow);
   flows_.erase(id);
 }
--- a/src/core/serving/serving_core.h
+++ b/src/core/serving/serving_core.h
@@ -1,13 +1,14 @@
-// The serving core: routing, attempts, retries, limits and final answers for
+// The serving core: routing, attempts, retries, limits and final responses for
 // opaque requests. Deterministic: no clock, thread or socket; the same object
 // runs in the daemon and in simulation.
 //
-// Protocol of a flow. A request is answered once. An attempt goes to one engine
-// named by its identity. What can have run is never sent again unless the route
-// says it may; a refusal (429, 503) is answered only for what has not run and
-// never will. A stream is broken off rather than ended early; where its route
-// allows, it goes on at another engine after the last whole event. When the
-// route's time or the caller's is up, the final answer is sent at once.
+// Protocol of a flow. Each request gets exactly one response. An attempt is sent
+// to one engine, identified by its id. A request that may have been executed is
+// not sent again unless its route permits it; a refusal (429, 503) is sent only
+// if the request has not been executed and never will be. A stream that cannot be
+// completed is aborted, never ended as if it were complete; if its route permits,
+// it is resumed at another engine after the last complete event. When the route's
+// timeout or the client's deadline expires, the final response is sent at once.
 #pragma once
 
 #include <map>
@@ -32,82 +33,82 @@
 struct Attempt {
   AttemptId id = 0;
   std::string engine_id;
-  EngineKey engine_key;  // Of the life that it was sent to.
+  EngineKey engine_key;  // Identifies the engine's incarnation that the attempt was sent to.
   AttemptMode mode = AttemptMode::kWhole;
   Time sent_at{};
-  std::int64_t prompt_tokens = 0;  // That it reads, by our reckoning.
-  bool head_seen = false;          // Of an answer that the engine made itself.
-  EngineResponseHead answer;
-  Time times_out_at{};  // Without an answer by then, it is looked into once.
+  std::int64_t prompt_tokens = 0;  // Estimate of the tokens that the engine has to prefill.
+  bool head_seen = false;          // The engine's response head has arrived.
+  EngineResponseHead response_head;
+  Time times_out_at{};  // Handled once, at this time, unless a response head has arrived.
   bool timeout_handled = false;
-  std::optional<KvCacheSource> memory;             // That it was to take.
-  bool engine_was_idle = false;                    // Nothing else was under way there, as far as is known.
-  admission::ConcurrencyWindow* window = nullptr;  // That it takes a place of.
-  int* unsettled_calls = nullptr;                  // Count of its line that it is part of until its end.
-  Duration target = 0s;                            // What its reading should take at most.
+  std::optional<KvCacheSource> kv_cache;           // The KV cache that the attempt decodes from.
+  bool engine_was_idle = false;                    // No other work was known to be in flight there.
+  admission::ConcurrencyWindow* window = nullptr;  // The window that the attempt occupies a slot of.
+  int* unsettled_calls = nullptr;                  // The counter that includes the attempt until it ends.
+  Duration target = 0s;                            // Target for the prefill time.
 };
 
 struct Flow {
   FlowId id = 0;
   RequestMetadata facts;
-  Route route;  // As it was when the request came.
+  Route route;  // The route at the time of arrival.
   std::string service;
-  std::string tenant;  // Empty: an anonymous caller's.
-  // Of the request and whose it is: two tenants that ask the same are two. 0: not known.
+  std::string tenant;  // Empty for an anonymous client.
+  // Combines request and tenant, so that identical requests of two tenants differ. 0 if unknown.
   std::uint64_t fingerprint = 0;
   bool language = false;
   Time arrived{};
-  Time ends{};
+  Time expires_at{};
   std::map<AttemptId, Attempt> attempts;
-  EngineIds tried;
-  std::optional<KvCacheSource> memory;
+  EngineIds tried_engines;
+  std::optional<KvCacheSource> kv_cache;
   std::string kv_cache_zone;
-  std::vector<std::string> kv_cache_refused_by;  // Engines that did not take the memory, whatever the cause.
-  int arrivals = 0;                              // Attempts sent, prefills aside.
+  std::vector<std::string> kv_cache_refused_by;  // Engines that refused the KV handoff, for whatever reason.
+  int arrivals = 0;                              // Attempts sent, not counting prefills.
   int prefills = 0;
-  int runs = 0;             // Attempts that may have run.
-  int tries = 0;            // All attempts.
-  bool unanswered = false;  // An attempt brought no answer: its connection may have been dead.
-  bool relaying = false;    // The client has the head of a stream.
+  int executions = 0;       // Attempts that may have been executed.
+  int attempt_count = 0;    // All attempts.
+  bool unanswered = false;  // An attempt got no response; its connection may have been dead.
+  bool relaying = false;    // The response head of a stream has been sent to the client.
   std::string last_event_id;
-  std::optional<Time> engine_wait_ends;  // For any engine to come.
+  std::optional<Time> engine_wait_ends;  // How long to wait until any engine becomes available.
   std::optional<Time> hedge_at;
   AttemptId relayed_attempt = 0;
-  bool queued = false;           // Its prompt waits in the service's reading order.
-  double worth = 0;              // Against the mean of its route; 0: not known yet.
-  bool prefill_metered = false;  // Its reading is in the measured demand.
-  std::optional<Time> read_at;   // When its prompt had been read apart.
-  bool counted = false;          // For its tenant's usage.
-  std::int64_t limit_cost = 0;   // Units that it takes of its tenant's limit; 0: there is none.
-  bool limit_pending = false;    // Whether it is inside the limit is being found out.
-  std::string limit_home;        // Name of the node that admitted it.
+  bool queued = false;               // The prompt waits in the service's prefill queue.
+  double value = 0;                  // Value relative to the mean of the route; 0: not known yet.
+  bool prefill_metered = false;      // The prefill is included in the measured demand.
+  std::optional<Time> prefilled_at;  // When the separate prefill was completed.
+  bool usage_counted = false;        // The request has been counted as usage of its tenant.
+  std::int64_t limit_cost = 0;       // Units of the tenant's limit that the request consumes; 0: no limit.
+  bool limit_pending = false;        // The limiter has not decided yet.
+  std::string limit_owner;           // Name of the node that decided on the limit.
 };
 
-// What a service's prompts wait for, and what was learned of them.
+// The prompts of a service that wait for prefill, and what has been measured of them.
 struct PrefillState {
   explicit PrefillState(const ServingParameters& parameters)
-      : order(admission::make_prefill_queue(parameters.prefill_order)),
-        readers(parameters.window),
-        overflow(parameters.overflow_window) {}
+      : queue(admission::make_prefill_queue(parameters.prefill_order)),
+        prefill_window(parameters.window),
+        decode_window(parameters.overflow_window) {}
 
-  std::unique_ptr<admission::PrefillQueue> order;
-  admission::ConcurrencyWindow readers;   // Of prompts at engines that read.
-  admission::ConcurrencyWindow overflow;  // Of those at engines that answer.
-  int unsettled_calls = 0;                // First readings under way: each costs an extra arrival if it is refused.
-  double peer_demand = 0;                 // Engines that the prompts of other nodes' callers would keep reading.
-  double decode_start_ms = 0;  // From a prompt's reading to its first event; moving average; 0: not measured.
-  std::set<std::pair<Time, FlowId>> wait_deadlines;  // Waiting prompts, by when they are judged.
+  std::unique_ptr<admission::PrefillQueue> queue;
+  admission::ConcurrencyWindow prefill_window;  // Prompts in flight at prefill engines.
+  admission::ConcurrencyWindow decode_window;   // Prompts being prefilled at decode engines.
+  int unsettled_calls = 0;     // First prefills in flight; each is charged to the retry budget if refused.
+  double peer_demand = 0;      // Prefill engines that the demand at other nodes would keep busy.
+  double decode_start_ms = 0;  // Moving average from the end of a prefill to the first event; 0: not measured yet.
+  std::set<std::pair<Time, FlowId>> wait_deadlines;  // Queued prompts by the end of their wait.
 };
 
-// What this node starts, a second; the others are taken to start as much each.
+// The rates at which this node starts work; every other node is assumed to start as much.
 struct DispatchRates {
-  explicit DispatchRates(Duration memory) : prompt_tokens(memory), runs(memory) {}
+  explicit DispatchRates(Duration averaging_time) : prompt_tokens(averaging_time), executions(averaging_time) {}
 
-  DecayingRate prompt_tokens;  // Read apart.
-  DecayingRate runs;
+  DecayingRate prompt_tokens;  // Sent to prefill engines.
+  DecayingRate executions;
 };
 
-// Learned of a route's prompts.
+// Measured properties of a route's prompts.
 struct RouteStatistics {
   double mean_size = 0;
 };
@@ -118,16 +119,16 @@
 
   void OnEvent(Time now, const Event& event, std::vector<Action>& actions);
 
-  // Without one, tenants have no limits.
-  // An earlier process of this node may have served until now.
+  // Call if an earlier process of this node may have served until now.
   void BeginAfterRestart(Time now) { retry_budget_share_.BeginAfterRestart(now); }
+  // Without a limiter, tenant limits are not enforced.
   void set_limiter(std::unique_ptr<limits::Limiter> limiter) { limiter_ = std::move(limiter); }
   // Whether any tenant of the configuration in force has a limit.
   bool has_limits() const { return has_limits_; }
-  // What is known of tenants' limits, for metrics.
+  // The state of the tenants' limits, for metrics.
   std::vector<limits::LimitStatus> LimitStatus(Time now) const;
 
-  // When the core next wants TimerFired; nothing while it has no work.
+  // When the core next needs a TimerFired event; nothing while it has no work.
   std::optional<Time> next_deadline() const;
 
   bool ready() const { return config_.has_value() && engines_listed_; }
@@ -165,24 +166,24 @@
   // Flow steps (flow_steps.cc).
   void Advance(Flow& flow);
   bool StartPrefill(Flow& flow);
-  // Reading orders (prefill_steps.cc).
+  // Prefill queues (prefill_steps.cc).
   bool EnqueuePrefill(Flow& flow);
-  void DispatchPrefills(PrefillState& line);
+  void DispatchPrefills(PrefillState& state);
   void DispatchAllPrefills();
   bool DispatchPrefill(Flow& flow, admission::Lane lane);
   bool StartOverflowPrefill(Flow& flow);
   Duration PrefillTarget(const Flow& flow, const Attempt& attempt) const;
   void OccupyWindow(Flow& flow, admission::ConcurrencyWindow& window);
   void RecordPrefillDone(const Attempt& attempt);
-  void ResolveExpiredWaits(PrefillState& line);
-  bool DispatchOverLimit(Flow& flow, PrefillState& line);
+  void ResolveExpiredWaits(PrefillState& state);
+  bool DispatchOverLimit(Flow& flow, PrefillState& state);
   Duration JitteredRetryAfter(const Flow& flow);
-  void SizeWindows(const std::string& service, PrefillState& line);
-  void MeterPrefillDemand(Flow& flow, std::int64_t tokens, bool apart);
+  void SizeWindows(const std::string& service, PrefillState& state);
+  void MeterPrefillDemand(Flow& flow, std::int64_t tokens, bool separate);
   void Dequeue(Flow& flow);
   PrefillState& PrefillStateOf(const std::string& service);
-  admission::QueuedPrompt DescribePrompt(const Flow& flow, const PrefillState& line);
-  double WorthOf(const Flow& flow);
+  admission::QueuedPrompt DescribePrompt(const Flow& flow, const PrefillState& state);
+  double ValueOf(const Flow& flow);
   void RecordDecodeStart(const Flow& flow);
   bool StartExecution(Flow& flow);
   EngineState* ChooseExecutionEngine(Flow& flow, AttemptMode mode);
@@ -192,55 +193,55 @@
   void FinishExecution(Flow& flow, const Attempt& attempt);
   void OnRefusal(Flow& flow, const Attempt& attempt);
   void OnKvHandoffRefused(Flow& flow, const Attempt& attempt, bool still_held);
-  void NoteRefusal(const Attempt& attempt, bool full);
+  void RecordRefusal(const Attempt& attempt, bool full);
   void OnAttemptLost(Flow& flow, const Attempt& attempt, AttemptFailure failure);
   void Retry(Flow& flow, std::string_view cause);
-  // Takes a call to an engine out of the retry budget.
+  // Charges a call to an engine to the retry budget.
   void ChargeRetryBudget(const Flow& flow, ExtraArrival cause);
-  // The first reading of the prompt is free if the engine took it up, and counts if it did not.
-  void SettleFirstPrefill(const Flow& flow, bool taken_up);
+  // The first prefill of a prompt is charged to the retry budget only if the engine did not accept it.
+  void SettleFirstPrefill(const Flow& flow, bool accepted);
   bool MayExecuteAgain(const Flow& flow) const;
-  // What is waited for, and for how long (timeout_steps.cc).
+  // Timeouts of attempts and flows (timeout_steps.cc).
   void OnDeadline(Flow& flow);
   void Hedge(Flow& flow);
   void CheckAttemptTimeouts(Flow& flow);
-  bool ShouldAbandon(const Flow& flow, const Attempt& attempt, bool silent);
+  bool ShouldAbandon(const Flow& flow, const Attempt& attempt, bool unresponsive);
   Duration AttemptTimeout(const Attempt& attempt, const EngineState& engine) const;
-  // Whether the engine has told nobody here anything since the attempt was sent.
-  bool EngineSilentSince(const Attempt& attempt);
-  // The engine has been silent since the attempt: what else rests on the way to it may be dead as well.
+  // Whether this node has received nothing from the engine since the attempt was sent.
+  bool EngineUnresponsiveSince(const Attempt& attempt);
+  // The engine has been unresponsive since the attempt was sent, so other idle connections to it may be dead as well.
   void DropIdleConnectionsTo(const Attempt& attempt);
   void ExpireAttemptsAt(const std::string& engine_id);
 
   // Limits of tenants (limit_steps.cc).
   void SetLimits();
   void LogLimits(const std::map<std::string, limits::TenantLimit>& limits);
-  // Begins to serve the request, at once or when it is found to be inside its tenant's limit.
+  // Starts serving the request as soon as the tenant's limit admits it.
   void AdmitByLimit(Flow& flow);
   void OnLimitDecided(Flow& flow, const limits::Decision& decision);
   void BeginServing(Flow& flow);
-  // The flow is over: what it was charged stands, or goes back if nothing of it can have run.
+  // At the end of a flow: confirms the charge, or refunds it if the request cannot have been executed.
   void SettleCharge(const Flow& flow);
-  // Carries out what the limiter wants done.
+  // Runs the limiter's due work and acts on its output.
   void StepLimiter();
   void LogOwnershipChange(const limits::OwnershipChange& change);
 
-  // Engines that ended under requests (crash_steps.cc).
+  // Engines that crashed while running requests (crash_steps.cc).
   void RecordBrokenResponse(const std::string& engine_id, std::uint64_t fingerprint);
-  // What may run once runs on after its caller has left: its engine's end is still held against it.
+  // At-most-once attempts go on after the client disconnects. If the engine crashes, the request is still blamed.
   void TrackDetachedAttempts(const Flow& flow);
   void HandleCrashedEngines();
-  // Refuses the request if it is in quarantine.
+  // Refuses the request if it is quarantined; returns whether it did.
   bool RefuseIfQuarantined(Flow& flow);
-  // Engines ended under it anew: tells, and ends its flows if it is in quarantine now.
+  // The request's crash count grew: if it is quarantined now, logs that and terminates its flows.
   void OnCrashCountIncreased(std::uint64_t fingerprint, std::string_view source);
-  void TerminateQuarantined(Flow& flow, Duration left);
+  void TerminateQuarantined(Flow& flow, Duration remaining);
   void NoteServed(const Flow& flow);
 
-  // Ends of a flow.
+  // Terminating a flow.
   void Refuse(Flow& flow, std::string_view cause);
   void Refuse(Flow& flow, std::string_view cause, Duration retry_after);
-  // `members`: JSON for the log line, beside what all refusals have.
+  // `members`: additional JSON members of the log line.
   void Refuse(Flow& flow, int status, std::string_view cause, Duration retry_after, std::string_view members);
   void Fail(Flow& flow, int status, std::string_view cause);
   void AbortFlow(Flow& flow, std::string_view cause);
@@ -249,23 +250,24 @@
   void EndAttempt(Flow& flow, AttemptId id);
 
   Flow* FindFlow(FlowId id);
-  // Remembers since when the engine is known to leave.
+  // Records when this node learnt that the engine is leaving.
   void RecordLeaving(const std::string& engine_id);
   void ScheduleWakeUp(Flow& flow);
   void Log(EventId event, const Flow* flow, std::string details);
   bool SupportsPrefixCopy(const Flow& flow) const;
-  // Tells the attempt what it reads and from where it copies.
+  // Determines how many tokens the attempt prefills and from where the engine copies cached parts.
   void PlanPrefillWork(const Flow& flow, EngineState& engine, Attempt& attempt, StartAttempt& start);
-  void LogRouted(const Flow& flow, const EngineState& engine, const StartAttempt& start, std::int64_t tokens_to_read);
-  void LogEngineStanding(const std::optional<HealthChange>& change);
-  // Tells the selector what other nodes have started meanwhile, as far as it may be guessed.
+  void LogRouted(const Flow& flow, const EngineState& engine, const StartAttempt& start,
+                 std::int64_t tokens_to_prefill);
+  void LogEngineHealth(const std::optional<HealthChange>& change);
+  // Gives the selector an estimate of the work that other nodes have started since their last reports.
   void EstimateUnreportedWork(const std::string& service);
   std::string ChooseService(const Route& route);
-  // Finds out whose request it is; false: it was answered, for its key opens nothing.
+  // Determines the tenant from the API key. Returns false if the request was rejected.
   bool Authenticate(Flow& flow);
-  // The attempt has run, or may have: the request counts as its tenant's usage, once.
+  // The attempt was or may have been executed: counts the request as usage of its tenant, once.
   void CountTenantUsage(Flow& flow, const Attempt& attempt);
-  // Nobody waits for the flow's attempts any more: plain engines have begun with them.
+  // The flow ends with attempts in flight. Counts them if its engines start executing on receipt.
   void CountUnansweredUsage(Flow& flow);
   void MeterDispatch(Flow& flow, const Attempt& attempt);
   void MeterDecodeDemand(const Flow& flow, const Attempt& attempt);
@@ -276,7 +278,7 @@
   RetryBudgetShare retry_budget_share_;
   Random random_;
   std::optional<ServingConfig> config_;
-  // A run that goes on although its caller has left.
+  // An attempt that goes on although its client has disconnected.
   struct DetachedAttempt {
     std::string engine_id;
     std::uint64_t fingerprint = 0;
@@ -284,24 +286,24 @@
   std::map<AttemptId, DetachedAttempt> detached_attempts_;
   EngineCrashDetector crash_detector_;
   CrashLedger crashes_;
-  TenantDirectory tenants_;  // Of config_.
+  TenantDirectory tenants_;  // Built from config_.
   std::unique_ptr<limits::Limiter> limiter_;
   bool has_limits_ = false;
-  std::map<std::string, limits::TenantLimit> limits_;  // Of config_, by tenant.
+  std::map<std::string, limits::TenantLimit> limits_;  // From config_, by tenant.
   std::map<std::string, DemandMeter> demand_;          // By service.
   bool engines_listed_ = false;
   bool store_connected_ = false;
   std::map<FlowId, std::unique_ptr<Flow>> flows_;
-  std::set<std::pair<Time, FlowId>> deadlines_;
+  std::set<std::pair<Time, FlowId>> wake_up_queue_;
   std::map<FlowId, Time> wake_ups_;
   AttemptId last_attempt_ = 0;
-  std::map<std::string, PrefillState> lines_;                // By service.
+  std::map<std::string, PrefillState> prefill_states_;       // By service.
   std::map<std::string, RouteStatistics> route_statistics_;  // By route.
   std::optional<Time> next_dispatch_;
-  bool dispatch_wanted_ = false;
+  bool dispatch_pending_ = false;
   int nodes_ = 1;
   Duration peer_report_age_ = 0s;
-  std::map<std::string, DispatchRates> starts_;  // By service.
+  std::map<std::string, DispatchRates> dispatch_rates_;  // By service.
   Time now_{};
   std::vector<Action>* actions_ = nullptr;
 };
--- a/src/core/serving/serving_parameters.h
+++ b/src/core/serving/serving_parameters.h
@@ -1,4 +1,4 @@
-// Every tunable number of the serving core, in one place.
+// Tuning parameters of the serving core.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace saltquay::serving {
 
-// How the engine of a request is chosen. All but kCost are baselines.
+// How an engine is chosen for a request. All policies but kCost exist as baselines for comparison.
 enum class SelectionPolicy { kCost, kRoundRobin, kLeastOutstanding };
 
 struct ServingParameters {
@@ -24,104 +24,105 @@
   CrashLedgerParameters crashes;
   RetryBudgetBounds retry_budget;
 
-  // Of each zone, its region; see Topology.
+  // Maps each zone to its region; see Topology.
   std::map<std::string, std::string, std::less<>> regions;
   TopologyParameters distances;
 
-  // Prompts up to this size are read by the engine that answers them.
+  // Prompts up to this size are prefilled by the engine that decodes them.
   int max_unsplit_prompt_tokens = 1024;
-  // How the time of a reading is learned.
+  // How prefill times are estimated.
   admission::PrefillTimeModelParameters reading;
-  // A load that an engine told counts for less and less, until this age.
+  // A load that an engine reported loses weight with age and is ignored from this age on.
   Duration load_report_lifetime = 2s;
-  // A prompt part stays in an engine's memory about this long after its last use.
+  // Approximate time for which an engine keeps a prompt part cached after its last use.
   Duration cached_part_lifetime = 30s;
 
-  // Milliseconds of queueing that a millisecond of the round trip to an engine is worth: callers wait for it, and what
-  // crosses it is paid for by the byte.
+  // Cost of one millisecond of round-trip time to an engine, in milliseconds of queueing: clients wait for the round
+  // trip, and the traffic is paid for by the byte.
   double rtt_weight = 7;
-  // The same, on top, for the way that a prompt's memory takes to the engine that answers from it: some hundred
-  // megabytes against a request's ten kilobytes.
+  // The same for the transfer of a prompt's KV cache to the decode engine, added to the cost above: a KV cache has some
+  // hundred megabytes, a request ten kilobytes.
   double kv_transfer_rtt_weight = 25;
-  // Milliseconds by which each request under way delays another at an engine that answers.
+  // Milliseconds by which each request in flight at a decode engine delays another one.
   double decode_load_ms = 10;
-  // The same on top for each beyond the engine's places: it waits until one becomes free, or displaces a stream that
-  // has to be read again. About what an answer of a few events keeps a place.
+  // Added for each request beyond the engine's slots: it waits until a slot becomes free, or it preempts a stream whose
+  // prompt then has to be prefilled again. About the time for which a response of a few events holds a slot.
   double decode_queue_ms = 60;
-  // Milliseconds of queueing that reading a shared part again is worth, for each millisecond it takes.
+  // Cost of prefilling a shared part again, in milliseconds of queueing per millisecond that it takes.
   double recompute_weight = 1.3;
-  // Under load that time is taken from others: the weight grows by one for each so many
-  // milliseconds of reading that wait at an engine on average.
+  // Under load that time is taken from other prompts: the weight grows by one for each so many milliseconds of prefill
+  // that are queued at an engine on average.
   double backlog_pressure_ms = 250;
-  // A part is spread to engines beyond its first two homes only for this much more.
+  // Factor on the cost of prefilling a shared part at an engine that is none of its first two home engines, so that
+  // parts are not spread over more engines than needed.
   double non_home_weight = 2;
 
-  // Whether what other nodes have started since their last reports is guessed, so that not all of them
-  // choose the same engine.
+  // Whether to estimate the work that other nodes have started since their last reports, so that not all nodes choose
+  // the same engine.
   bool estimates_unreported_work = true;
 
-  // Whether engines are told to copy shared parts of a prompt from one that keeps them.
+  // Whether engines are instructed to copy the shared parts of a prompt from an engine that has them cached.
   bool copies_prefix_parts = true;
-  // Parts are copied from an engine that leaves for so long after it was known to. Engines serve on for two seconds
-  // at least; a copy from one that has ended holds up the prompt.
+  // How long parts are still copied from an engine after this node learnt that it is leaving. Engines keep serving for
+  // at least two seconds; a copy from an engine that has exited delays the prompt.
   Duration leaving_source_time = 1500ms;
-  // Fewer tokens are not worth a copy.
+  // A prompt of which the engine lacks fewer shared tokens than this is prefilled without a copy.
   int min_copied_tokens = 256;
 
-  // The order in which prompts wait for an engine to read them.
+  // The order in which queued prompts are dispatched to prefill engines.
   admission::QueuePolicy prefill_order = admission::QueuePolicy::ValuePerCost;
-  // How many prompts this node has under way at a service's engines.
+  // How many prompts this node has in flight at a service's engines.
   admission::ConcurrencyWindowParameters window;
-  // A reading should take at most this share of the request's objective, or so many times what
-  // it takes at an idle engine, whichever is longer.
+  // A prefill should take at most this share of the request's latency objective, or this multiple of its time at an
+  // idle engine, whichever is longer.
   double prefill_target_share = 1.0;
   double prefill_target_factor = 2.5;
-  // What misses its objective anyway gets this share of the window.
+  // Share of the window for prompts that will miss their objective anyway.
   double late_window_share = 0.5;
-  // First guess of the time from a prompt's reading to its first event, as a share of the objective.
+  // Initial estimate of the time from the end of the prefill to the first event, as a share of the objective.
   double initial_decode_start_share = 0.1;
-  // Prompts of a lane that are tried before the others wait for the next change.
+  // Number of prompts per lane that are tried in one dispatch; the others wait for the next change.
   std::size_t dispatch_depth = 8;
-  // A prompt that still waits at this share of its objective is judged: it is committed where
-  // it will still be read in time, else refused with a time to come back. Within a quarter of
-  // the objective a caller still has time for another try.
+  // Once a prompt has been queued for this share of its objective, it is either committed, if its prefill can still
+  // finish in time, or refused with a Retry-After. A client that is refused within a quarter of the objective still has
+  // time for a retry.
   double wait_deadline_share = 0.17;
   bool sheds_load = true;
-  // Nothing is refused while readings take less than this share of their targets on average,
+  // No load is shed while prefills take less than this share of their targets on average
   double shedding_ratio = 0.7;
-  // as long as this node has no more than so many times its window under way.
+  // and this node has no more than this multiple of its window in flight.
   double over_limit_factor = 2;
-  // Prompts that no prefill engine has room for may be read by engines that answer.
+  // Whether decode engines may prefill prompts for which no prefill engine has capacity.
   bool allows_overflow = true;
   admission::ConcurrencyWindowParameters overflow_window{.initial_depth = 1, .max_depth = 1.5};
-  // Not where reading there would take more than this share of the objective.
+  // Upper bound of the prefill time at a decode engine, as a share of the objective.
   double overflow_prefill_share = 0.25;
-  double overflow_max_utilization = 0.35;  // Only those with less than this share of their slots taken.
-  // The waiting prompts are looked at again after this time, if nothing else happens.
+  double overflow_max_utilization = 0.35;  // Only decode engines with less than this share of their slots in use.
+  // Queued prompts are reconsidered after this time even if nothing else happens.
   Duration dispatch_interval = 10ms;
 
-  // Over this time demand is averaged for role changes.
+  // Time constant of the demand average that role changes are based on.
   Duration demand_averaging_time = 3s;
-  // Slots and memory of an engine that answers well are filled to this share.
+  // Share of its slots and KV cache up to which a decode engine works well.
   double target_utilization = 0.5;
 
-  // The share of the objective that a request may wait for any engine.
+  // Share of the objective for which a request may wait until any engine becomes available.
   double engine_wait_share = 0.2;
-  Duration longest_wait = 400ms;
-  // A repeatable request unanswered for this share of its objective goes to a second engine.
+  Duration max_engine_wait = 400ms;
+  // A repeatable request without a response after this share of its objective is sent to a second engine as well.
   double hedge_delay_share = 0.8;
-  // An engine that said nothing for so long, with work under way, is taken out.
-  Duration silence = 1500ms;
-  // A prompt whose reading takes so many times what it should is read elsewhere.
+  // An engine that has work in flight and sends nothing for this long is ejected.
+  Duration unresponsive_timeout = 1500ms;
+  // A prefill that takes this multiple of its expected time is retried at another engine.
   double prefill_timeout_factor = 3;
-  // Connections come up within this share of the objective, and these bounds.
+  // Connect timeout as a share of the objective, clamped to these bounds.
   double connect_share = 0.4;
   Duration min_connect_timeout = 60ms;
   Duration max_connect_timeout = 400ms;
-  // A final answer is sent this much before the time runs out.
+  // The final response is sent this much before the deadline.
   Duration response_margin = 15ms;
   Duration retry_after = 400ms;
-  int max_tries = 5;
+  int max_attempts_per_flow = 5;
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/tenant_directory.h
+++ b/src/core/serving/tenant_directory.h
@@ -1,6 +1,6 @@
-// Whose key a request carries.
+// Looks up tenants by API key.
 //
-// Compiled once for each version of the configuration; a lookup takes one hash, whatever the number of tenants.
+// Built once per configuration version; a lookup costs one hash, whatever the number of tenants.
 #pragma once
 
 #include <cstddef>
@@ -15,11 +15,11 @@
 
 namespace saltquay::serving {
 
-// Somebody for whom requests are served and counted.
+// A customer whose requests are authenticated, limited and counted together.
 struct Tenant {
   std::string name;
-  std::vector<std::string> api_keys;  // Secrets of its callers; it may have none.
-  std::optional<int> priority;        // Goes before the route's; 0 is the most urgent.
+  std::vector<std::string> api_keys;  // Secrets; a tenant may have none.
+  std::optional<int> priority;        // Overrides the route's priority; 0 is the most urgent.
   std::optional<limits::TenantLimit> limit{};
 };
 
@@ -28,12 +28,12 @@
   TenantDirectory() = default;
   explicit TenantDirectory(const std::vector<Tenant>& tenants);
 
-  // Returns the tenant that holds the key; nullptr where none does. Valid as long as the directory.
+  // Returns the tenant that owns the key, or nullptr. The pointer is valid for the lifetime of the directory.
   const Tenant* FindByKey(std::string_view key) const;
   std::size_t key_count() const { return by_key_.size(); }
 
  private:
-  std::vector<Tenant> tenants_;  // Without their keys.
+  std::vector<Tenant> tenants_;  // The API keys are left out.
   absl::flat_hash_map<std::string, std::size_t> by_key_;
 };
 
--- a/tests/core/serving/crash_ledger_test.cc
+++ b/tests/core/serving/crash_ledger_test.cc
@@ -1,4 +1,4 @@
-// Requests under which engines ended: what nodes add up, in whatever order it comes, and what it leads to.
+// The crash ledger: marks merge in any order, and quarantine follows from them.
 #include "src/core/serving/crash_ledger.h"
 
 #include <algorithm>
@@ -14,11 +14,11 @@
 constexpr Time kNow{1000s};
 constexpr std::uint64_t kRequest = 7;
 
-CrashMark End(std::uint64_t request, std::uint64_t engine, Duration age = 0s) {
+CrashMark Crash(std::uint64_t request, std::uint64_t engine, Duration age = 0s) {
   return {request, EngineKey(engine), age};
 }
 
-TEST(CrashLedgerTest, ThreeLivesOfEnginesMakeAQuarantineAndThreeReportsOfOneDoNot) {
+TEST(CrashLedgerTest, QuarantineNeedsThreeCrashedEnginesNotThreeReportsOfOne) {
   CrashLedger ledger{CrashLedgerParameters{}};
   for (int i = 0; i < 3; ++i) ledger.RecordCrash(kRequest, EngineKey(std::uint64_t{1}), kNow, kNow);
   EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, kNow).has_value());
@@ -29,49 +29,49 @@
   EXPECT_EQ(ledger.QuarantinedCount(kNow), 1U);
 }
 
-TEST(CrashLedgerTest, AfterTheQuarantineOneMoreEndPutsItBack) {
+TEST(CrashLedgerTest, OneMoreCrashAfterQuarantineQuarantinesAgain) {
   CrashLedger ledger{CrashLedgerParameters{}};
-  ledger.Merge(std::vector{End(kRequest, 1), End(kRequest, 2), End(kRequest, 3)}, kNow);
+  ledger.Merge(std::vector{Crash(kRequest, 1), Crash(kRequest, 2), Crash(kRequest, 3)}, kNow);
   const Time later = kNow + CrashLedgerParameters{}.quarantine;
   EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, later).has_value());
   ledger.RecordCrash(kRequest, EngineKey(std::uint64_t{4}), later, later);
   EXPECT_EQ(ledger.QuarantineRemaining(kRequest, later), CrashLedgerParameters{}.quarantine);
 }
 
-TEST(CrashLedgerTest, ARunThatEndedWellClearsWhatCameBeforeItHereAndAtOthers) {
+TEST(CrashLedgerTest, SuccessClearsEarlierCrashesHereAndAtPeers) {
   CrashLedger ledger{CrashLedgerParameters{}};
   CrashLedger other{CrashLedgerParameters{}};
-  const std::vector<CrashMark> ends = {End(kRequest, 1), End(kRequest, 2), End(kRequest, 3)};
-  ledger.Merge(ends, kNow);
-  other.Merge(ends, kNow);
+  const std::vector<CrashMark> crash_marks = {Crash(kRequest, 1), Crash(kRequest, 2), Crash(kRequest, 3)};
+  ledger.Merge(crash_marks, kNow);
+  other.Merge(crash_marks, kNow);
   EXPECT_TRUE(ledger.NoteServed(kRequest, kNow + 1s));
   EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, kNow + 1s).has_value());
   other.Merge(ledger.MarksToReport(kNow + 1s), kNow + 1s);
   EXPECT_FALSE(other.QuarantineRemaining(kRequest, kNow + 1s).has_value());
-  // What a third node still tells of before counts no more.
-  ledger.Merge(std::vector{End(kRequest, 1, 2s), End(kRequest, 2, 2s), End(kRequest, 3, 2s)}, kNow + 2s);
+  // Earlier crashes that a third node still reports no longer count.
+  ledger.Merge(std::vector{Crash(kRequest, 1, 2s), Crash(kRequest, 2, 2s), Crash(kRequest, 3, 2s)}, kNow + 2s);
   EXPECT_EQ(ledger.Ends(kRequest), 0);
   EXPECT_FALSE(ledger.NoteServed(kRequest, kNow + 3s));
 }
 
-TEST(CrashLedgerTest, AClearanceThatIsToldInARingIsNoNewsForEver) {
+TEST(CrashLedgerTest, ClearanceReportedBackAndForthIsNewOnlyOnce) {
   CrashLedger first{CrashLedgerParameters{}};
   CrashLedger second{CrashLedgerParameters{}};
-  first.Merge(std::vector{End(kRequest, 1)}, kNow);
+  first.Merge(std::vector{Crash(kRequest, 1)}, kNow);
   first.NoteServed(kRequest, kNow);
   Time now = kNow;
-  int news = 0;
+  int new_marks = 0;
   for (int round = 0; round < 100; ++round, now += 100ms) {
-    news += static_cast<int>(second.Merge(first.MarksToReport(now), now + 50ms).size());
-    news += static_cast<int>(first.Merge(second.MarksToReport(now), now + 50ms).size());
+    new_marks += static_cast<int>(second.Merge(first.MarksToReport(now), now + 50ms).size());
+    new_marks += static_cast<int>(first.Merge(second.MarksToReport(now), now + 50ms).size());
   }
-  EXPECT_EQ(news, 1);
+  EXPECT_EQ(new_marks, 1);
 }
 
-TEST(CrashLedgerTest, ANodeThatStartsAnewLearnsWhatIsNoNewsAnyMore) {
+TEST(CrashLedgerTest, RestartedNodeLearnsOlderMarks) {
   CrashLedger ledger{CrashLedgerParameters{}};
   for (std::uint64_t request = 1; request <= 9; ++request) {
-    ledger.Merge(std::vector{End(request, 1), End(request, 2), End(request, 3)}, kNow);
+    ledger.Merge(std::vector{Crash(request, 1), Crash(request, 2), Crash(request, 3)}, kNow);
   }
   CrashLedger fresh{CrashLedgerParameters{}};
   Time now = kNow + 20s;
@@ -79,59 +79,59 @@
   EXPECT_EQ(fresh.QuarantinedCount(now), 9U);
 }
 
-TEST(CrashLedgerTest, MessagesAndMemoryAreBounded) {
+TEST(CrashLedgerTest, MessageAndLedgerSizesAreBounded) {
   CrashLedgerParameters parameters;
   CrashLedger ledger{parameters};
-  ledger.Merge(std::vector{End(kRequest, 1), End(kRequest, 2), End(kRequest, 3)}, kNow);
+  ledger.Merge(std::vector{Crash(kRequest, 1), Crash(kRequest, 2), Crash(kRequest, 3)}, kNow);
   for (std::uint64_t request = 100; request < 20000; ++request) {
     ledger.RecordCrash(request, EngineKey(request), kNow + 1s, kNow + 1s);
   }
   EXPECT_EQ(ledger.size(), parameters.max_ledger_requests);
-  // A flood of requests with one end each pushes nothing out of quarantine.
+  // Many requests with one crash each do not evict a quarantined one.
   EXPECT_TRUE(ledger.QuarantineRemaining(kRequest, kNow + 1s).has_value());
-  EXPECT_LE(ledger.MarksToReport(kNow + 1s).size(), parameters.max_recent_marks + parameters.repeated);
+  EXPECT_LE(ledger.MarksToReport(kNow + 1s).size(), parameters.max_recent_marks + parameters.max_repeated_marks);
   EXPECT_EQ(ledger.MarksToReport(kNow + 1s).front().request, kRequest);
   ledger.RecordCrash(1, EngineKey(std::uint64_t{1}), kNow + 3000s, kNow + 3000s);
   EXPECT_EQ(ledger.size(), 1U);
 }
 
-TEST(CrashLedgerTest, AnEndThatIsToldWithTwoTimesCountsByTheLater) {
+TEST(CrashLedgerTest, CrashReportedWithTwoTimesCountsWithTheLater) {
   for (const bool earlier_first : {true, false}) {
     CrashLedger ledger{CrashLedgerParameters{}};
-    ledger.Merge(std::vector{End(kRequest, 1, earlier_first ? 9s : 3s)}, kNow);
-    ledger.Merge(std::vector{End(kRequest, 1, earlier_first ? 3s : 9s)}, kNow);
+    ledger.Merge(std::vector{Crash(kRequest, 1, earlier_first ? 9s : 3s)}, kNow);
+    ledger.Merge(std::vector{Crash(kRequest, 1, earlier_first ? 3s : 9s)}, kNow);
     ledger.Merge(std::vector{CrashMark{kRequest, EngineKey{}, 6s}}, kNow);
     EXPECT_EQ(ledger.Ends(kRequest), 1);
   }
 }
 
-RC_GTEST_PROP(CrashLedgerProperty, MarksAddUpInAnyOrderAndHoweverOften, ()) {
+RC_GTEST_PROP(CrashLedgerProperty, MergeIsIndependentOfOrderAndRepetition, ()) {
   std::vector<CrashMark> marks;
   const int count = *rc::gen::inRange(1, 30);
   marks.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i) {
-    marks.push_back(End(*rc::gen::inRange<std::uint64_t>(1, 4), *rc::gen::inRange<std::uint64_t>(0, 5),
-                        std::chrono::seconds(*rc::gen::inRange(0, 40) * 3)));
+    marks.push_back(Crash(*rc::gen::inRange<std::uint64_t>(1, 4), *rc::gen::inRange<std::uint64_t>(0, 5),
+                          std::chrono::seconds(*rc::gen::inRange(0, 40) * 3)));
   }
-  std::vector<CrashMark> others = marks;
-  others.insert(others.end(), marks.begin(), marks.end());
-  for (std::size_t i = others.size() - 1; i > 0; --i) {
-    std::swap(others[i], others[*rc::gen::inRange<std::size_t>(0, i + 1)]);
+  std::vector<CrashMark> shuffled = marks;
+  shuffled.insert(shuffled.end(), marks.begin(), marks.end());
+  for (std::size_t i = shuffled.size() - 1; i > 0; --i) {
+    std::swap(shuffled[i], shuffled[*rc::gen::inRange<std::size_t>(0, i + 1)]);
   }
   CrashLedger first{CrashLedgerParameters{}};
   CrashLedger second{CrashLedgerParameters{}};
   first.Merge(marks, kNow);
-  for (const CrashMark& mark : others) second.Merge(std::span(&mark, 1), kNow);
+  for (const CrashMark& mark : shuffled) second.Merge(std::span(&mark, 1), kNow);
   for (std::uint64_t request = 1; request < 4; ++request) {
     RC_ASSERT(first.QuarantineRemaining(request, kNow).has_value() ==
               second.QuarantineRemaining(request, kNow).has_value());
   }
 }
 
-// The same in a node: what is refused, what is ended, what is left alone.
+// Quarantine in a serving core: new requests are refused and flows terminated; other requests are not affected.
 class QuarantineTest : public ServingFixture {
  protected:
-  FlowId ArriveAs(const std::string& route, std::uint64_t fingerprint) {
+  FlowId ArriveWithFingerprint(const std::string& route, std::uint64_t fingerprint) {
     RequestArrived arrived;
     arrived.flow = ++last_flow_;
     arrived.facts.request_id = "r" + std::to_string(last_flow_);
@@ -141,44 +141,44 @@
     Send(arrived);
     return last_flow_;
   }
-  // As the core names an anonymous caller's request.
+  // The fingerprint that the core derives for an anonymous client's request.
   static std::uint64_t Fingerprint(std::uint64_t request) { return HashPair(request, HashText("")); }
-  void TellThreeEnds(std::uint64_t request) {
+  void ReportThreeCrashes(std::uint64_t request) {
     const std::uint64_t fingerprint = Fingerprint(request);
-    Send(PeerCrashesReported{{End(fingerprint, 1), End(fingerprint, 2), End(fingerprint, 3)}});
+    Send(PeerCrashesReported{{Crash(fingerprint, 1), Crash(fingerprint, 2), Crash(fingerprint, 3)}});
   }
 };
 
-TEST_F(QuarantineTest, ARepeatIsRefusedAtOnceWithTheTimeLeft) {
-  TellThreeEnds(kRequest);
+TEST_F(QuarantineTest, RetryIsRefusedAtOnceWithTheRemainingQuarantine) {
+  ReportThreeCrashes(kRequest);
   now_ += 10s;
-  ArriveAs("safe", kRequest);
+  ArriveWithFingerprint("safe", kRequest);
   EXPECT_TRUE(All<StartAttempt>().empty());
   EXPECT_EQ(One<SendLocalReply>().status, 503);
   EXPECT_EQ(One<SendLocalReply>().retry_after, CrashLedgerParameters{}.quarantine - 10s);
-  ArriveAs("safe", kRequest + 1);
+  ArriveWithFingerprint("safe", kRequest + 1);
   EXPECT_EQ(All<StartAttempt>().size(), 1U);
 }
 
-TEST_F(QuarantineTest, WhatIsUnderWayIsTakenBackAndSaysWhetherItMayHaveRun) {
-  ArriveAs("once", kRequest);
+TEST_F(QuarantineTest, AttemptInFlightIsCancelledAndReportedAsBadGateway) {
+  ArriveWithFingerprint("once", kRequest);
   const auto sent = One<StartAttempt>();
-  TellThreeEnds(kRequest);
+  ReportThreeCrashes(kRequest);
   EXPECT_EQ(One<CancelAttempt>().attempt, sent.attempt);
   EXPECT_EQ(One<SendLocalReply>().status, 502);
   EXPECT_EQ(core_.flows(), 0U);
 }
 
-TEST_F(QuarantineTest, ARequestThatOnlyWaitsIsRefused) {
+TEST_F(QuarantineTest, WaitingRequestIsRefused) {
   for (const char* engine : {"u1", "u2"}) Send(EngineRemoved{engine});
-  ArriveAs("safe", kRequest);
+  ArriveWithFingerprint("safe", kRequest);
   EXPECT_TRUE(All<StartAttempt>().empty());
-  TellThreeEnds(kRequest);
+  ReportThreeCrashes(kRequest);
   EXPECT_EQ(One<SendLocalReply>().status, 503);
 }
 
-TEST_F(QuarantineTest, EndsSeenHereAreToldAtOnce) {
-  ArriveAs("once", kRequest);
+TEST_F(QuarantineTest, LocallyObservedCrashIsReportedAtOnce) {
+  ArriveWithFingerprint("once", kRequest);
   const auto start = One<StartAttempt>();
   Fail(start, AttemptFailure::kBroken);
   Send(EngineProbed{start.engine_id, EngineProbeOutcome::kRefused});
@@ -189,8 +189,8 @@
   EXPECT_EQ(marks.front().engine, EngineKey(start.engine_id));
 }
 
-TEST_F(QuarantineTest, AnEndCountsAlsoWhenTheCallerOfWhatMayRunOnceHasLeft) {
-  const FlowId flow = ArriveAs("once", kRequest);
+TEST_F(QuarantineTest, CrashCountsAfterTheClientOfAnAtMostOnceRequestDisconnected) {
+  const FlowId flow = ArriveWithFingerprint("once", kRequest);
   const auto start = One<StartAttempt>();
   Send(ClientDisconnected{flow});
   EXPECT_TRUE(All<CancelAttempt>().empty());
@@ -200,8 +200,8 @@
   EXPECT_EQ(core_.crashes().Ends(Fingerprint(kRequest)), 1);
 }
 
-TEST_F(QuarantineTest, ARequestThatIsServedInTheEndIsCleared) {
-  ArriveAs("safe", kRequest);
+TEST_F(QuarantineTest, RequestThatSucceedsIsCleared) {
+  ArriveWithFingerprint("safe", kRequest);
   const auto first = One<StartAttempt>();
   Fail(first, AttemptFailure::kBroken);
   const auto second = One<StartAttempt>();
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -166,8 +166,8 @@
   const std::string told = Explain("r1");
   EXPECT_NE(told.find("engine=e0"), std::string::npos);
   EXPECT_NE(told.find("engine=e1"), std::string::npos);
-  EXPECT_NE(told.find("cause=refused by the engine"), std::string::npos);
-  EXPECT_NE(told.find("request_refused: cause=no engine can take it"), std::string::npos);
+  EXPECT_NE(told.find("cause=refused by engine"), std::string::npos);
+  EXPECT_NE(told.find("request_refused: cause=no engine available"), std::string::npos);
 }
 
 TEST_F(GatewayTest, BadGatewayAfterAnEngineDiedWithTheRequest) {
@@ -180,7 +180,7 @@
   EXPECT_NE(Ask("r1").find(" 502 "), std::string::npos);
   const std::string told = Explain("r1");
   EXPECT_NE(told.find("request_routed"), std::string::npos);
-  EXPECT_NE(told.find("request_failed: cause=the engine broke off; it may have run"), std::string::npos);
+  EXPECT_NE(told.find("request_failed: cause=engine connection lost; request may have run"), std::string::npos);
   EXPECT_EQ(requests, 1);
 }
 
@@ -248,7 +248,7 @@
   EXPECT_NE(answer.find("id: 1\ndata: a\n\n"), std::string::npos);
   EXPECT_EQ(answer.find("id: 2"), std::string::npos);
   EXPECT_EQ(answer.find("0\r\n\r\n"), std::string::npos);
-  EXPECT_NE(Explain("r1").find("request_broken_off: cause=the engine broke off"), std::string::npos);
+  EXPECT_NE(Explain("r1").find("request_broken_off: cause=engine connection lost"), std::string::npos);
 }
 
 TEST_F(GatewayTest, ARepeatableRequestIsServedByTheSecondEngine) {
--- a/tests/scripts/worth_lost_test.py
+++ b/tests/scripts/worth_lost_test.py
@@ -25,9 +25,9 @@
         self.assertEqual(worth_lost.prices(report), ["- 0.300 c", "- 0.020 b"])
 
     def test_causes_come_from_our_lines_alone(self):
-        line = '  1.25 front-1 {"time_ms":1,"name":"request_refused","cause":"no engine had room to read it"}'
+        line = '  1.25 front-1 {"time_ms":1,"name":"request_refused","cause":"no prefill capacity"}'
         counts = worth_lost.causes([line, line, "seen 3 requests", '{"time_ms":1,"name":"request_ref'])
-        self.assertEqual(counts[("request_refused", "no engine had room to read it")], 2)
+        self.assertEqual(counts[("request_refused", "no prefill capacity")], 2)
         self.assertEqual(sum(counts.values()), 2)
 
 
