--- a/tests/core/serving/client_disconnect_test.cc
+++ b/tests/core/serving/client_disconnect_test.cc
@@ -1,13 +1,13 @@
-// A client that leaves: whatever is under way for it ends, and nothing more begins.
+// Client disconnects: all attempts are cancelled and no new ones are started.
 #include "tests/support/serving_fixture.h"
 
 namespace saltquay::serving {
 namespace {
 
-class LeavingTest : public ServingFixture {
+class ClientDisconnectTest : public ServingFixture {
  protected:
-  // The client leaves; every attempt named is cancelled at once, and nothing begins in the next seconds.
-  void LeaveAndExpectCancelled(FlowId flow, const std::vector<AttemptId>& attempts) {
+  // Disconnects the client; the given attempts must be cancelled at once and none started in the next seconds.
+  void DisconnectAndExpectCancelled(FlowId flow, const std::vector<AttemptId>& attempts) {
     Send(ClientDisconnected{flow});
     std::vector<AttemptId> cancelled;
     for (const CancelAttempt& action : All<CancelAttempt>()) cancelled.push_back(action.attempt);
@@ -18,40 +18,40 @@
   }
 };
 
-TEST_F(LeavingTest, AHandOverIsCancelled) {
+TEST_F(ClientDisconnectTest, HandoffIsCancelled) {
   const FlowId flow = Arrive("chat", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
-  LeaveAndExpectCancelled(flow, {One<StartAttempt>().attempt});
+  DisconnectAndExpectCancelled(flow, {One<StartAttempt>().attempt});
 }
 
-TEST_F(LeavingTest, BothAttemptsOfAHedgedRequestAreCancelled) {
+TEST_F(ClientDisconnectTest, BothAttemptsOfAHedgedRequestAreCancelled) {
   const FlowId flow = Arrive("safe");
   const auto first = One<StartAttempt>();
   Pass(330ms);
-  LeaveAndExpectCancelled(flow, {first.attempt, One<StartAttempt>().attempt});
+  DisconnectAndExpectCancelled(flow, {first.attempt, One<StartAttempt>().attempt});
 }
 
-TEST_F(LeavingTest, APromptThatWaitsForAReaderIsNotReadLater) {
+TEST_F(ClientDisconnectTest, QueuedPromptIsNotPrefilledLater) {
   for (const char* id : {"p1", "p2"}) core_.engines().Find(id)->held_until = now_ + 50ms;
   const FlowId flow = Arrive("lone", LongPrompt());
-  std::vector<AttemptId> begun;
-  for (const StartAttempt& start : All<StartAttempt>()) begun.push_back(start.attempt);
-  LeaveAndExpectCancelled(flow, begun);
+  std::vector<AttemptId> started;
+  for (const StartAttempt& start : All<StartAttempt>()) started.push_back(start.attempt);
+  DisconnectAndExpectCancelled(flow, started);
 }
 
-TEST_F(LeavingTest, WhatWaitsForAnyEngineIsNotSentLater) {
+TEST_F(ClientDisconnectTest, RequestWaitingForAnEngineIsNotSentLater) {
   Send(EnginesReplaced{});
   const FlowId flow = Arrive("safe");
   EXPECT_TRUE(All<StartAttempt>().empty());
-  LeaveAndExpectCancelled(flow, {});
+  DisconnectAndExpectCancelled(flow, {});
   Send(EngineChanged{MakeEngine("u9", "plain", EngineStage::kUniform)});
   EXPECT_TRUE(All<StartAttempt>().empty());
 }
 
-TEST_F(LeavingTest, ARetryAfterARefusalIsCancelled) {
+TEST_F(ClientDisconnectTest, RetryAfterARefusalIsCancelled) {
   const FlowId flow = Arrive("safe");
   Answer(One<StartAttempt>(), 503, true);
-  LeaveAndExpectCancelled(flow, {One<StartAttempt>().attempt});
+  DisconnectAndExpectCancelled(flow, {One<StartAttempt>().attempt});
 }
 
 }  // namespace
--- a/tests/core/serving/engine_crash_test.cc
+++ b/tests/core/serving/engine_crash_test.cc
@@ -1,4 +1,4 @@
-// An engine whose process ended, told from one of which only a connection broke.
+// Distinguishes an engine whose process crashed from one of which only a connection broke.
 #include <map>
 
 #include <gtest/gtest.h>
@@ -8,15 +8,15 @@
 namespace saltquay::serving {
 namespace {
 
-class EngineEndTest : public ServingFixture {
+class EngineCrashTest : public ServingFixture {
  protected:
-  bool EndIsLogged() const {
+  bool CrashIsLogged() const {
     for (const auto& line : All<LogDecision>()) {
       if (line.event == EventId::kEngineEnded) return true;
     }
     return false;
   }
-  StartAttempt BreakOne() {
+  StartAttempt InterruptOne() {
     Arrive("safe");
     auto start = One<StartAttempt>();
     Fail(start, AttemptFailure::kBroken);
@@ -24,27 +24,27 @@
   }
 };
 
-TEST_F(EngineEndTest, ARefusedConnectionAfterABrokenAnswerIsAnEnd) {
-  const StartAttempt start = BreakOne();
+TEST_F(EngineCrashTest, RefusedProbeAfterAnInterruptedResponseIsACrash) {
+  const StartAttempt start = InterruptOne();
   EXPECT_EQ(One<ProbeEngine>().engine_id, start.engine_id);
   Send(EngineProbed{start.engine_id, EngineProbeOutcome::kRefused});
-  EXPECT_TRUE(EndIsLogged());
+  EXPECT_TRUE(CrashIsLogged());
 }
 
-TEST_F(EngineEndTest, AnEngineThatAcceptsOrSaysNothingHasNotEnded) {
+TEST_F(EngineCrashTest, AcceptedOrInconclusiveProbeIsNoCrash) {
   for (const auto outcome : {EngineProbeOutcome::kAccepted, EngineProbeOutcome::kUnknown}) {
-    const StartAttempt start = BreakOne();
+    const StartAttempt start = InterruptOne();
     Send(EngineProbed{start.engine_id, outcome});
-    EXPECT_FALSE(EndIsLogged());
+    EXPECT_FALSE(CrashIsLogged());
     Pass(3s);
   }
 }
 
-TEST_F(EngineEndTest, AnEngineThatTurnsConnectionsAwayButGoesOnAnsweringHasNotEnded) {
+TEST_F(EngineCrashTest, EngineThatRefusesConnectionsButKeepsRespondingHasNotCrashed) {
   std::map<std::string, StartAttempt> first_at;
   StartAttempt broken;
   StartAttempt other;
-  while (other.engine_id.empty()) {  // Until two calls meet at one of the two engines.
+  while (other.engine_id.empty()) {  // Until two attempts are at the same engine.
     Arrive("once");
     const auto start = One<StartAttempt>();
     const auto [entry, is_first] = first_at.emplace(start.engine_id, start);
@@ -54,13 +54,13 @@
   }
   Fail(broken, AttemptFailure::kBroken);
   Send(EngineProbed{broken.engine_id, EngineProbeOutcome::kRefused});
-  EXPECT_FALSE(EndIsLogged());
+  EXPECT_FALSE(CrashIsLogged());
   now_ += 100ms;
   Answer(other, 200);
-  EXPECT_FALSE(EndIsLogged());
+  EXPECT_FALSE(CrashIsLogged());
 }
 
-TEST_F(EngineEndTest, AnEngineThatAnnouncedItsEndIsNotChecked) {
+TEST_F(EngineCrashTest, LeavingEngineIsNotProbed) {
   Arrive("safe");
   const auto start = One<StartAttempt>();
   EngineRecord record = MakeEngine(start.engine_id, "plain", EngineStage::kUniform);
@@ -70,7 +70,7 @@
   EXPECT_TRUE(All<ProbeEngine>().empty());
 }
 
-TEST_F(EngineEndTest, WhatWasNeverSentAccusesNobody) {
+TEST_F(EngineCrashTest, FailedConnectionDoesNotTriggerAProbe) {
   Arrive("safe");
   Fail(One<StartAttempt>(), AttemptFailure::kNotSent);
   EXPECT_TRUE(All<ProbeEngine>().empty());
--- a/tests/core/serving/flow_test.cc
+++ b/tests/core/serving/flow_test.cc
@@ -1,4 +1,4 @@
-// One request's flow: what may be sent again, what is answered, and when.
+// Flows: which requests may be retried, and which final response is sent when.
 #include <set>
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 using FlowTest = ServingFixture;
 
-TEST_F(FlowTest, RelaysAnAnswerAndEnds) {
+TEST_F(FlowTest, RelaysTheResponseAndEndsTheFlow) {
   Arrive("safe");
   const auto start = One<StartAttempt>();
   EXPECT_EQ(start.mode, AttemptMode::kWhole);
@@ -20,7 +20,7 @@
   EXPECT_EQ(core_.flows(), 0U);
 }
 
-TEST_F(FlowTest, UnknownRouteIs404OnlyWhileTheStoreIsHeard) {
+TEST_F(FlowTest, UnknownRouteIs404OnlyWhileConnectedToTheStore) {
   Arrive("nowhere");
   EXPECT_EQ(One<SendLocalReply>().status, 404);
   Send(StoreConnectivityChanged{false});
@@ -29,7 +29,7 @@
   EXPECT_TRUE(One<SendLocalReply>().retry_after.has_value());
 }
 
-TEST_F(FlowTest, BeforeAnyConfigurationRequestsAreRefusedWithATime) {
+TEST_F(FlowTest, RefusesWithRetryAfterBeforeTheFirstConfiguration) {
   ServingCore fresh(ServingParameters{}, "a", 1);
   std::vector<Action> actions;
   RequestArrived arrived;
@@ -41,7 +41,7 @@
   EXPECT_TRUE(answer->retry_after.has_value());
 }
 
-TEST_F(FlowTest, AnOlderConfigurationNeverReplacesANewer) {
+TEST_F(FlowTest, OlderConfigurationIsIgnored) {
   ServingConfig newer = MakeConfig();
   newer.version = 5;
   newer.routes.clear();
@@ -50,7 +50,7 @@
   EXPECT_EQ(core_.version(), 5U);
 }
 
-TEST_F(FlowTest, AtMostOnceIsNotSentAgainAfterItMayHaveRun) {
+TEST_F(FlowTest, AtMostOnceIsNotRetriedOnceItMayHaveBeenExecuted) {
   Arrive("once");
   Fail(One<StartAttempt>(), AttemptFailure::kBroken);
   EXPECT_TRUE(All<StartAttempt>().empty());
@@ -58,32 +58,32 @@
   EXPECT_FALSE(One<SendLocalReply>().retry_after.has_value());
 }
 
-TEST_F(FlowTest, AtMostOnceGoesElsewhereWhenItWasNotSentOrNotRun) {
+TEST_F(FlowTest, AtMostOnceIsRetriedElsewhereIfNotSentOrNotExecuted) {
   Arrive("once");
   const auto first = One<StartAttempt>();
   Fail(first, AttemptFailure::kNotSent);
   const auto second = One<StartAttempt>();
   EXPECT_NE(second.engine_id, first.engine_id);
   Answer(second, 503, true);
-  EXPECT_TRUE(All<StartAttempt>().empty());  // Both engines were tried: it waits.
+  EXPECT_TRUE(All<StartAttempt>().empty());  // Both engines have been tried, so it waits.
   Pass(500ms);
   EXPECT_EQ(One<SendLocalReply>().status, 503);
   EXPECT_TRUE(One<SendLocalReply>().retry_after.has_value());
 }
 
-TEST_F(FlowTest, AFailureOfTheEnginesOwnIsRelayedForAtMostOnce) {
+TEST_F(FlowTest, EngineErrorIsRelayedForAtMostOnce) {
   Arrive("once");
   Answer(One<StartAttempt>(), 500);
   EXPECT_EQ(All<RelayResponse>().size(), 1U);
 }
 
-TEST_F(FlowTest, AnEnginesUnprovenRefusalIsNotPassedOnAsAPromise) {
+TEST_F(FlowTest, RefusalWithoutNotExecutedIsReportedAsBadGateway) {
   Arrive("once");
   Answer(One<StartAttempt>(), 503);
   EXPECT_EQ(One<SendLocalReply>().status, 502);
 }
 
-TEST_F(FlowTest, RepeatableGoesToASecondEngineOnceAndNoFurther) {
+TEST_F(FlowTest, RepeatableIsRetriedAtOneOtherEngineOnly) {
   Arrive("safe");
   const auto first = One<StartAttempt>();
   Fail(first, AttemptFailure::kBroken);
@@ -94,7 +94,7 @@
   EXPECT_EQ(One<SendLocalReply>().status, 502);
 }
 
-TEST_F(FlowTest, TimeUpAnswersAtOnceWithoutAPromise) {
+TEST_F(FlowTest, DeadlineIsAnsweredAtOnceWithGatewayTimeout) {
   Arrive("once");
   Pass(3900ms);
   EXPECT_TRUE(All<SendLocalReply>().empty());
@@ -103,14 +103,14 @@
   EXPECT_EQ(All<CancelAttempt>().size(), 1U);
 }
 
-TEST_F(FlowTest, NoEngineIsAnsweredWithinAQuarterOfTheObjective) {
+TEST_F(FlowTest, RefusesWithinAQuarterOfTheObjectiveIfThereIsNoEngine) {
   Send(EnginesReplaced{});
   Arrive("safe");
   Pass(100ms);
   EXPECT_EQ(One<SendLocalReply>().status, 503);
 }
 
-TEST_F(FlowTest, LeavingAndGoneEnginesGetNothing) {
+TEST_F(FlowTest, LeavingAndRemovedEnginesGetNoRequests) {
   EngineRecord leaving = MakeEngine("u1", "plain", EngineStage::kUniform);
   leaving.leaving = true;
   Send(EngineChanged{leaving});
@@ -121,24 +121,24 @@
   EXPECT_TRUE(All<StartAttempt>().empty());
 }
 
-TEST_F(FlowTest, ALongPromptIsReadApartAndHandedOver) {
+TEST_F(FlowTest, LongPromptIsPrefilledSeparatelyAndHandedOff) {
   Arrive("lone", LongPrompt());
   const auto prefill = One<StartAttempt>();
   EXPECT_EQ(prefill.mode, AttemptMode::kPrefill);
   EXPECT_EQ(prefill.engine_id[0], 'p');
   Answer(prefill, 200, false, "handle");
-  const auto run = One<StartAttempt>();
-  EXPECT_EQ(run.mode, AttemptMode::kContinue);
-  EXPECT_EQ(run.engine_id[0], 'd');
-  EXPECT_EQ(run.memory->handle, "handle");
-  Head(run, 200);
-  EXPECT_EQ(One<BeginRelay>().attempt, run.attempt);
-  Send(AttemptCompleted{run.flow, run.attempt, ""});
+  const auto decode = One<StartAttempt>();
+  EXPECT_EQ(decode.mode, AttemptMode::kContinue);
+  EXPECT_EQ(decode.engine_id[0], 'd');
+  EXPECT_EQ(decode.memory->handle, "handle");
+  Head(decode, 200);
+  EXPECT_EQ(One<BeginRelay>().attempt, decode.attempt);
+  Send(AttemptCompleted{decode.flow, decode.attempt, ""});
   EXPECT_EQ(All<EndRelay>().size(), 1U);
 }
 
-TEST_F(FlowTest, ARefusedPrefillGoesToAnotherEngineNotTheSame) {
-  // Hunt of 2026-12-02, fcl-norte hunt-e402-7: the same engine was asked again after each 500.
+// Guards against: a prefill that an engine refused with 500 is sent to the same engine again and again.
+TEST_F(FlowTest, RefusedPrefillIsRetriedAtAnotherEngine) {
   Arrive("lone", LongPrompt());
   const auto first = One<StartAttempt>();
   Answer(first, 500, true);
@@ -147,8 +147,9 @@
   EXPECT_NE(second.engine_id, first.engine_id);
 }
 
-TEST_F(FlowTest, AMisdirectedHandOverKeepsTheMemoryAndTakesTheEngineOut) {
-  // fcl-norte trouble-3: a dead engine's address answered 421; each time the prompt was read anew.
+// Guards against: the address of a dead engine responds with 421 to each KV handoff, and the prompt is prefilled again
+// each time.
+TEST_F(FlowTest, MisdirectedHandoffKeepsTheKvCacheAndEjectsTheEngine) {
   Arrive("lone", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
   const auto first = One<StartAttempt>();
@@ -160,9 +161,9 @@
   EXPECT_GT(core_.engines().Find(first.engine_id)->ejected_until, now_);
 }
 
-TEST_F(FlowTest, ARefusedHandOverIsHandedOverElsewhereBeforeThePromptIsReadAgain) {
-  // rcr-roster-large trouble-3: an engine that shed, without saying that it was full, was handed the same prompt again
-  // and again, each time after another reading; 4,764 arrivals beyond the first in 10 s where 4,203 were allowed.
+// Guards against: an engine that sheds load without reporting that it is full gets the same KV handoff again and again,
+// each time after another prefill. That caused 4,764 extra arrivals in 10 s where the retry budget allowed 4,203.
+TEST_F(FlowTest, RefusedHandoffIsRetriedElsewhereBeforeAnotherPrefill) {
   Arrive("chat", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
   const auto first = One<StartAttempt>();
@@ -173,37 +174,37 @@
   ASSERT_TRUE(second.memory);
   EXPECT_EQ(second.memory->handle, "handle");
   EXPECT_NE(second.engine_id, first.engine_id);
-  EXPECT_TRUE(core_.engines().Find(first.engine_id)->IsOutOfService(now_));  // Left alone for a while.
+  EXPECT_TRUE(core_.engines().Find(first.engine_id)->IsOutOfService(now_));  // Backed off.
   EXPECT_FALSE(core_.engines().Find(first.engine_id)->IsOutOfService(now_ + 50ms));
-  // Two engines that cannot take it: the memory is gone, or might as well be.
+  // Two engines refused it: the KV cache is presumed lost.
   Answer(second, 503, true);
   EXPECT_EQ(One<ReleaseKvCache>().memory.handle, "handle");
   EXPECT_EQ(One<StartAttempt>().mode, AttemptMode::kPrefill);
 }
 
-TEST_F(FlowTest, AStreamGoesOnElsewhereAfterItsLastWholeEvent) {
+TEST_F(FlowTest, StreamResumesElsewhereAfterItsLastCompleteEvent) {
   Arrive("chat", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
-  const auto run = One<StartAttempt>();
-  Head(run, 200);
-  Send(AttemptEventsReceived{run.flow, run.attempt, "3"});
-  Fail(run, AttemptFailure::kBroken);
-  const auto again = One<StartAttempt>();
-  EXPECT_EQ(again.last_event_id, "3");
+  const auto decode = One<StartAttempt>();
+  Head(decode, 200);
+  Send(AttemptEventsReceived{decode.flow, decode.attempt, "3"});
+  Fail(decode, AttemptFailure::kBroken);
+  const auto resumed = One<StartAttempt>();
+  EXPECT_EQ(resumed.last_event_id, "3");
   EXPECT_TRUE(All<AbortResponse>().empty());
 }
 
-TEST_F(FlowTest, AStreamThatMayNotResumeIsBrokenOff) {
+TEST_F(FlowTest, StreamThatMayNotBeResumedIsAborted) {
   Arrive("lone", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
-  const auto run = One<StartAttempt>();
-  Head(run, 200);
-  Fail(run, AttemptFailure::kBroken);
+  const auto decode = One<StartAttempt>();
+  Head(decode, 200);
+  Fail(decode, AttemptFailure::kBroken);
   EXPECT_EQ(All<AbortResponse>().size(), 1U);
   EXPECT_TRUE(All<StartAttempt>().empty());
 }
 
-TEST_F(FlowTest, AClientThatLeavesCancelsItsStreamAndFreesItsMemory) {
+TEST_F(FlowTest, ClientDisconnectCancelsThePrefill) {
   Arrive("lone", LongPrompt());
   const auto prefill = One<StartAttempt>();
   Send(ClientDisconnected{prefill.flow});
@@ -211,28 +212,28 @@
   EXPECT_EQ(core_.flows(), 0U);
 }
 
-TEST_F(FlowTest, ALostConnectionKeepsTheMemoryForTheNextEngine) {
+TEST_F(FlowTest, FailedConnectionKeepsTheKvCacheForTheNextEngine) {
   Arrive("lone", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
   Fail(One<StartAttempt>(), AttemptFailure::kNotSent);
   EXPECT_EQ(One<StartAttempt>().memory->handle, "handle");
 }
 
-TEST_F(FlowTest, SinceWhenAnEngineLeavesIsRemembered) {
+TEST_F(FlowTest, StartOfLeavingIsRemembered) {
   EngineRecord record = MakeEngine("p1", "model", EngineStage::kPrefill);
   record.leaving = true;
   Send(EngineChanged{record});
-  const Time learnt = now_;
+  const Time learnt_at = now_;
   now_ += 1s;
   record.order_sequence = 3;
   Send(EngineChanged{record});
-  EXPECT_EQ(core_.engines().Find("p1")->leaving_since, learnt);
+  EXPECT_EQ(core_.engines().Find("p1")->leaving_since, learnt_at);
   record.leaving = false;
   Send(EngineChanged{record});
   EXPECT_FALSE(core_.engines().Find("p1")->leaving_since);
 }
 
-TEST_F(FlowTest, ASilentEngineIsTakenOutAndTheRequestStays) {
+TEST_F(FlowTest, UnresponsiveEngineIsEjectedAndAtMostOnceRequestsStayThere) {
   Arrive("once");
   const auto first = One<StartAttempt>();
   Arrive("once");
@@ -246,8 +247,8 @@
             0);
 }
 
-TEST_F(FlowTest, EnginesWithoutStagesReadAndAnswerAtThePartsHome) {
-  // Own site one-zone (no prefill share): every prompt was refused, for no engine had the stage looked for.
+// Guards against: with engines that have no stage, every prompt is refused because no prefill engine is found.
+TEST_F(FlowTest, EnginesWithoutStagesPrefillAndDecodeAtThePartsHomeEngine) {
   Send(EnginesReplaced{{MakeEngine("m1", "model", EngineStage::kUniform),
                         MakeEngine("m2", "model", EngineStage::kUniform),
                         MakeEngine("m3", "model", EngineStage::kUniform)}});
@@ -260,8 +261,8 @@
   EXPECT_EQ(One<StartAttempt>().engine_id, first.engine_id);
 }
 
-TEST_F(FlowTest, APromptThatAHungEngineDoesNotReadIsReadElsewhere) {
-  // Own day sick_engines: 13 requests waited for a hung prefill until their time was up.
+// Guards against: requests wait for a hung prefill until their deadlines.
+TEST_F(FlowTest, HungPrefillIsRetriedAtAnotherEngine) {
   Arrive("lone", LongPrompt());
   const auto first = One<StartAttempt>();
   Pass(3500ms);
@@ -271,8 +272,8 @@
   EXPECT_NE(second.engine_id, first.engine_id);
 }
 
-TEST_F(FlowTest, AReadingAtAnEngineThatOthersFoundLostIsReadElsewhereAtOnce) {
-  // rcr-roster-large trouble-1: readings waited 3.5 s at engines that had gone dark, while other nodes knew.
+// Guards against: prefills wait 3.5 s at unresponsive engines that other nodes have already ejected.
+TEST_F(FlowTest, PrefillMovesAtOnceWhenPeersReportTheEngineAsFailing) {
   Arrive("lone", LongPrompt());
   const auto first = One<StartAttempt>();
   Pass(300ms);
@@ -284,10 +285,11 @@
   EXPECT_NE(One<StartAttempt>().engine_id, first.engine_id);
 }
 
-TEST_F(FlowTest, AHungReadingIsGivenUpThoughNoRetryIsLeft) {
-  // Sent whole to an engine that answers it is the request's first arrival; it had waited until its time was up.
+// Guards against: with an empty retry budget, a request waits for a hung prefill until its deadline. Sending it whole
+// to a decode engine is its first arrival and is not charged to the budget.
+TEST_F(FlowTest, HungPrefillIsAbandonedWithoutRetryBudget) {
   PeersChanged many;
-  many.nodes = 100000;  // No part of the slack.
+  many.nodes = 100000;  // Leaves no slack for this node.
   Send(many);
   Arrive("lone", LongPrompt());
   const auto first = One<StartAttempt>();
@@ -296,64 +298,66 @@
   EXPECT_EQ(One<StartAttempt>().mode, AttemptMode::kWhole);
 }
 
-// Whatever engines do: one final answer, at-most-once work is sent again only
-// when it cannot have run, and runs stay within the route's attempts.
-RC_GTEST_FIXTURE_PROP(FlowTest, AnyOutcomesKeepThePromises, ()) {
+// For any engine behaviour: exactly one final response, at-most-once work is retried only if it cannot have been
+// executed, and executions stay within the route's maximum attempts.
+RC_GTEST_FIXTURE_PROP(FlowTest, GuaranteesHoldForAnyEngineBehaviour, ()) {
   const std::string route = *rc::gen::element<std::string>("safe", "once", "chat", "lone");
   const bool long_prompt = (route == "chat" || route == "lone") && *rc::gen::arbitrary<bool>();
   const int allowed = route == "safe" || route == "chat" ? 2 : 1;
   const FlowId flow = Arrive(route, long_prompt ? std::optional(LongPrompt()) : std::nullopt);
-  std::vector<StartAttempt> open = All<StartAttempt>();
-  std::set<std::string> may_have_run;
-  int finals = 0;
-  const auto absorb = [&] {
-    for (const StartAttempt& start : All<StartAttempt>()) open.push_back(start);
+  std::vector<StartAttempt> in_flight = All<StartAttempt>();
+  std::set<std::string> possible_executions;
+  int final_responses = 0;
+  const auto collect_actions = [&] {
+    for (const StartAttempt& start : All<StartAttempt>()) in_flight.push_back(start);
     for (const CancelAttempt& cancel : All<CancelAttempt>()) {
-      std::erase_if(open, [&](const StartAttempt& start) { return start.attempt == cancel.attempt; });
+      std::erase_if(in_flight, [&](const StartAttempt& start) { return start.attempt == cancel.attempt; });
     }
-    finals += static_cast<int>(All<RelayResponse>().size() + All<EndRelay>().size() + All<AbortResponse>().size());
+    final_responses +=
+        static_cast<int>(All<RelayResponse>().size() + All<EndRelay>().size() + All<AbortResponse>().size());
     for (const SendLocalReply& answer : All<SendLocalReply>()) {
-      ++finals;
-      const bool promise = answer.status == 503 || answer.status == 429;
-      if (promise && allowed == 1) RC_ASSERT(may_have_run.empty());
+      ++final_responses;
+      const bool promises_not_executed = answer.status == 503 || answer.status == 429;
+      if (promises_not_executed && allowed == 1) RC_ASSERT(possible_executions.empty());
     }
   };
   const int steps = *rc::gen::inRange(1, 12);
   for (int step = 0; step < steps; ++step) {
-    if (open.empty()) {
+    if (in_flight.empty()) {
       Pass(50ms);
-      absorb();
+      collect_actions();
       continue;
     }
-    const StartAttempt start = open.front();
-    open.erase(open.begin());
-    const int what = *rc::gen::inRange(0, 6);
-    const bool run = start.mode != AttemptMode::kPrefill;
-    if (run && (what == 0 || what == 1 || what == 5)) may_have_run.insert(std::to_string(start.attempt));
-    RC_ASSERT(static_cast<int>(may_have_run.size()) <= allowed);
-    if (what == 0) Fail(start, AttemptFailure::kBroken);
-    if (what == 1) Answer(start, 500);
-    if (what == 2) Fail(start, AttemptFailure::kNotSent);
-    if (what == 3) Answer(start, 503, true);
-    if (what == 4) Answer(start, 421, true);
-    if (what == 5) Answer(start, 200, false, "h");
-    absorb();
-    RC_ASSERT(finals <= 1);
+    const StartAttempt start = in_flight.front();
+    in_flight.erase(in_flight.begin());
+    const int outcome = *rc::gen::inRange(0, 6);
+    const bool executes = start.mode != AttemptMode::kPrefill;
+    if (executes && (outcome == 0 || outcome == 1 || outcome == 5))
+      possible_executions.insert(std::to_string(start.attempt));
+    RC_ASSERT(static_cast<int>(possible_executions.size()) <= allowed);
+    if (outcome == 0) Fail(start, AttemptFailure::kBroken);
+    if (outcome == 1) Answer(start, 500);
+    if (outcome == 2) Fail(start, AttemptFailure::kNotSent);
+    if (outcome == 3) Answer(start, 503, true);
+    if (outcome == 4) Answer(start, 421, true);
+    if (outcome == 5) Answer(start, 200, false, "h");
+    collect_actions();
+    RC_ASSERT(final_responses <= 1);
   }
   Pass(5s);
-  absorb();
-  RC_ASSERT(finals == 1);
+  collect_actions();
+  RC_ASSERT(final_responses == 1);
   RC_ASSERT(core_.flows() == 0U);
   static_cast<void>(flow);
 }
 
-TEST_F(FlowTest, AnEngineThatLacksAKeptPartIsToldWhereToCopyIt) {
+TEST_F(FlowTest, EngineThatLacksACachedPartGetsACopySource) {
   Arrive("chat", LongPrompt());
   const auto first = One<StartAttempt>();
-  EXPECT_TRUE(first.copy_from.empty());  // The home itself.
+  EXPECT_TRUE(first.copy_from.empty());  // The home engine of the part itself.
   core_.engines().Find(first.engine_id)->ejected_until = now_ + 1s;
   Arrive("chat", LongPrompt());
-  EXPECT_TRUE(One<StartAttempt>().copy_from.empty());  // What is out is no source.
+  EXPECT_TRUE(One<StartAttempt>().copy_from.empty());  // An ejected engine is no copy source.
   core_.engines().Find(first.engine_id)->ejected_until = Time{};
   core_.engines().Find(first.engine_id)->outstanding_prompt_tokens = 500000;
   Arrive("chat", LongPrompt("s2"));
@@ -362,9 +366,9 @@
   for (int i = 4; i < 12 && !copied; ++i) {
     const FlowId flow = Arrive("chat", LongPrompt("s" + std::to_string(i)));
     copied = !One<StartAttempt>().copy_from.empty();
-    Send(ClientDisconnected{flow});  // The node bounds what it has under way.
+    Send(ClientDisconnected{flow});  // The node limits its prompts in flight.
   }
-  EXPECT_TRUE(copied);  // From a home that is too busy to read.
+  EXPECT_TRUE(copied);  // From a home engine that is too busy for another prefill.
 }
 
 }  // namespace
--- a/tests/core/serving/idle_connections_test.cc
+++ b/tests/core/serving/idle_connections_test.cc
@@ -1,13 +1,13 @@
-// Kept connections to engines that fall silent without an end.
+// Idle connections to engines that become unresponsive without closing them.
 #include "tests/support/serving_fixture.h"
 
 namespace saltquay::serving {
 namespace {
 
-class ConnectionsTest : public ServingFixture {};
+class IdleConnectionsTest : public ServingFixture {};
 
-// Guards against: kept connections to an engine that fell silent are tried one after the other, a request each.
-TEST_F(ConnectionsTest, AnAttemptThatNobodyAnsweredDropsTheOtherConnectionsToItsEngine) {
+// Guards against: idle connections to an unresponsive engine are tried one after the other, one request each.
+TEST_F(IdleConnectionsTest, AttemptWithoutResponseDropsIdleConnectionsToItsEngine) {
   Arrive("once");
   const auto start = One<StartAttempt>();
   Pass(4s);
@@ -17,21 +17,21 @@
   EXPECT_EQ(dropped.front().address, start.address);
 }
 
-// Guards against: a request and its repeat both wait on kept connections that fell silent together.
-TEST_F(ConnectionsTest, TheRepeatOfAnAttemptWithoutAnAnswerTakesANewConnection) {
+// Guards against: a request and its retry both wait on idle connections that died together.
+TEST_F(IdleConnectionsTest, RetryAfterNoResponseUsesANewConnection) {
   Arrive("safe");
   EXPECT_FALSE(One<StartAttempt>().on_new_connection);
   Pass(400ms);
   EXPECT_TRUE(One<StartAttempt>().on_new_connection);
 }
 
-TEST_F(ConnectionsTest, TheRepeatOfAnAttemptThatItsEngineRefusedTakesAnyConnection) {
+TEST_F(IdleConnectionsTest, RetryAfterARefusalMayUseAnIdleConnection) {
   Arrive("safe");
   Answer(One<StartAttempt>(), 503, true);
   EXPECT_FALSE(One<StartAttempt>().on_new_connection);
 }
 
-TEST_F(ConnectionsTest, AnEngineThatAnswersOthersKeepsItsConnections) {
+TEST_F(IdleConnectionsTest, EngineThatRespondsToOthersKeepsItsConnections) {
   Arrive("once");
   const auto first = One<StartAttempt>();
   std::optional<StartAttempt> second;
--- a/tests/core/serving/overload_test.cc
+++ b/tests/core/serving/overload_test.cc
@@ -1,5 +1,5 @@
-// Overload before the engines: it is no sickness, it spends no retry budget,
-// and it is over when the callers' surge is over.
+// Overload of the engines: it ejects no healthy engine, does not exceed the retry budget, and ends when the surge of
+// requests ends.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -25,14 +25,14 @@
     for (Route& route : config.routes) route.timeout = 2s;
     return config;
   }
-  // Six engines that read and three that answer; together they read about 800 prompts a second.
+  // Six prefill engines and three decode engines; together they prefill about 800 prompts per second.
   static void AddEngines(ServingFleet& fleet, int queue) {
     for (int i = 0; i < 9; ++i) {
       FleetEngine engine;
-      const bool reads = i < 6;
-      engine.record = MakeEngine((reads ? "p" : "d") + std::to_string(i), "model",
-                                 reads ? EngineStage::kPrefill : EngineStage::kDecode);
-      engine.slots = reads ? 4 : 40;
+      const bool is_prefill = i < 6;
+      engine.record = MakeEngine((is_prefill ? "p" : "d") + std::to_string(i), "model",
+                                 is_prefill ? EngineStage::kPrefill : EngineStage::kDecode);
+      engine.slots = is_prefill ? 4 : 40;
       engine.queue = queue;
       fleet.AddEngine(engine);
     }
@@ -40,30 +40,30 @@
   static PromptMetadata Prompt(int count) { return LongPrompt("s" + std::to_string(count % 97)); }
 };
 
-// Fills the node's window with prompts that no engine answers.
+// Fills the node's window with prompts that no engine responds to.
 class FullWindowTest : public ServingFixture {
  protected:
   FullWindowTest() {
-    for (int i = 0; i < 100 && !waiting_; ++i) {
+    for (int i = 0; i < 100 && !window_full_; ++i) {
       Arrive("chat", LongPrompt("s" + std::to_string(i)));
-      waiting_ = All<StartAttempt>().empty();
+      window_full_ = All<StartAttempt>().empty();
     }
   }
 
-  bool waiting_ = false;
+  bool window_full_ = false;
 };
 
-TEST_F(FullWindowTest, WhatHasNoRoomIsRefusedWithinAQuarterOfItsObjectiveWithATime) {
-  ASSERT_TRUE(waiting_);
+TEST_F(FullWindowTest, ExcessPromptIsRefusedWithRetryAfterWithinAQuarterOfItsObjective) {
+  ASSERT_TRUE(window_full_);
   Pass(100ms);  // A quarter of 400 ms.
   const auto answer = One<SendLocalReply>();
   EXPECT_EQ(answer.status, 503);
   ASSERT_TRUE(answer.retry_after.has_value());
   EXPECT_GT(*answer.retry_after, 0s);
-  EXPECT_LT(*answer.retry_after, 4s / 3);  // Callers follow a third of their time.
+  EXPECT_LT(*answer.retry_after, 4s / 3);  // Clients follow a Retry-After of up to a third of their deadline.
 }
 
-TEST_F(FullWindowTest, AShorterObjectiveIsJudgedBeforeALongerOneThatCameFirst) {
+TEST_F(FullWindowTest, ShorterObjectiveIsDecidedBeforeALongerOneThatArrivedFirst) {
   ServingConfig config = MakeConfig();
   config.version = 2;
   config.routes[2].objective = 100ms;
@@ -73,16 +73,16 @@
   EXPECT_EQ(One<SendLocalReply>().flow, second);
 }
 
-TEST_F(FullWindowTest, WhatWaitsGoesOnWhenAPromptIsOver) {
+TEST_F(FullWindowTest, QueuedPromptIsDispatchedWhenAnotherEnds) {
   Send(ClientDisconnected{1});
   EXPECT_EQ(All<StartAttempt>().size(), 1U);
 }
 
-// Four nodes; three times what the engines read, for 8 s, then a third of it.
+// Three times the prefill capacity for 8 s, then a third of the capacity.
 struct Surge {
   explicit Surge(ServingFleet& fleet) : fleet(fleet) {}
 
-  void Play() {
+  void Run() {
     constexpr double kCapacity = 800;
     fleet.Begin();
     fleet.Offer("chat", kCapacity / 3, fleet.now() + 2s, prompt);
@@ -99,31 +99,31 @@
   std::function<PromptMetadata(int)> prompt;
 };
 
-TEST_F(OverloadTest, ThreeTimesTheCapacityEjectsNoEngineAndIsOverWithinASecond) {
+TEST_F(OverloadTest, ThreefoldOverloadEjectsNoEngineAndEndsWithinASecond) {
   ServingFleet fleet(4, Config(), Parameters(), 3);
   AddEngines(fleet, 8);
   Surge surge(fleet);
   surge.prompt = Prompt;
-  surge.Play();
+  surge.Run();
   EXPECT_TRUE(fleet.ejected().empty());
   EXPECT_GT(fleet.answered_within_objective(), 480);  // Of 533 in the last two seconds.
 }
 
-TEST_F(OverloadTest, ASurgeHidesNoSickEngineAndBlamesNoOther) {
+TEST_F(OverloadTest, FailingEnginesAndNoOthersAreEjectedDuringASurge) {
   ServingFleet fleet(4, Config(), Parameters(), 5);
   AddEngines(fleet, 8);
   fleet.SetHealth("p0", EngineHealth::kFailsOften);
   fleet.SetHealth("p2", EngineHealth::kUnresponsive);
   Surge surge(fleet);
   surge.prompt = Prompt;
-  surge.Play();
+  surge.Run();
   EXPECT_TRUE(fleet.ejected().contains("p0"));
   EXPECT_TRUE(fleet.ejected().contains("p2"));
   for (const std::string& id : fleet.ejected()) EXPECT_TRUE(id == "p0" || id == "p2") << id;
 }
 
-// The property that BUDGET was broken by: refusals of first prefills.
-RC_GTEST_FIXTURE_PROP(OverloadTest, ArrivalsBeyondTheFirstStayWithinTheBudget, ()) {
+// Guards against: refused first prefills exceed the retry budget.
+RC_GTEST_FIXTURE_PROP(OverloadTest, ExtraArrivalsStayWithinTheRetryBudget, ()) {
   const int nodes = *rc::gen::inRange(1, 9);
   const int queue = *rc::gen::inRange(0, 30);
   const double overload = *rc::gen::inRange(1, 5);
--- a/tests/core/serving/poison_request_test.cc
+++ b/tests/core/serving/poison_request_test.cc
@@ -1,11 +1,11 @@
-// The incident: a request under which three engines had ended was sent to engines 8 to 12 times more; 13 to 24 ended.
+// Guards against: a request that crashes engines is executed again and again.
 //
-// Seen: all engines of a service that answer ended within 0.7 s, came back 4 s later and ended again, for 11 to 16 s;
-// up to eight other streams broke at each end. How it came about: one request, sent again and again by its callers,
-// ended each engine that began to run it, about 100 ms after its first token. Each repeat reached some node as a new
-// request and was tried at two engines. Cause: what bounds a request (tries, runs, engines tried) ended with each
-// attempt of its caller at one node; no node remembered a request by what it is, and none told the others. What proved
-// it: no flow had more than two broken runs, each on a fresh id; no node ever refused one for what it had done.
+// A request crashes each engine that executes it, about 100 ms after its first token, and its client retries it. Each
+// retry reaches some node as a new request and is tried at two engines. Limits per request (attempts, executions,
+// engines tried) do not stop this, since they apply to a single client request at a single node. Without a fingerprint
+// that nodes share, a request that had already crashed three engines was sent to engines 8 to 12 more times and crashed
+// 13 to 24 of them: all decode engines of a service crashed within 0.7 s, restarted 4 s later and crashed again, for 11
+// to 16 s, and each crash broke up to eight other streams.
 #include <algorithm>
 
 #include <gtest/gtest.h>
@@ -16,21 +16,21 @@
 namespace saltquay::serving {
 namespace {
 
-// Nodes in touch know of the third end after this time.
-constexpr Duration kContact = 3s;
-constexpr int kMostEnds = 3;
-constexpr int kMostLaterRuns = 3;
+// After this time, all nodes that can reach each other know of the third crash.
+constexpr Duration kPropagationTime = 3s;
+constexpr int kQuarantineThreshold = 3;
+constexpr int kMaxLaterExecutions = 3;
 
 class PoisonRequestTest : public ServingFixture {
  protected:
-  // Seven nodes before five engines that read and four that answer, as in the incident.
+  // Five prefill engines and four decode engines.
   static void AddEngines(ServingFleet& fleet) {
     for (int i = 0; i < 9; ++i) {
       FleetEngine engine;
-      const bool reads = i < 5;
-      engine.record = MakeEngine((reads ? "p" : "d") + std::to_string(i), "model",
-                                 reads ? EngineStage::kPrefill : EngineStage::kDecode);
-      engine.slots = reads ? 4 : 40;
+      const bool is_prefill = i < 5;
+      engine.record = MakeEngine((is_prefill ? "p" : "d") + std::to_string(i), "model",
+                                 is_prefill ? EngineStage::kPrefill : EngineStage::kDecode);
+      engine.slots = is_prefill ? 4 : 40;
       fleet.AddEngine(engine);
     }
   }
@@ -40,16 +40,17 @@
     return parameters;
   }
   static PromptMetadata OrdinaryPrompt(int count) { return LongPrompt("s" + std::to_string(count % 7)); }
-  static long LaterRuns(const ServingFleet& fleet) {
-    const std::vector<Time>& ends = fleet.engine_ends();
-    if (ends.size() < kMostEnds) return 0;
-    const Time known = ends[kMostEnds - 1] + kContact;
-    const auto& runs = fleet.poison_runs();
-    return std::count_if(runs.begin(), runs.end(), [&](const PoisonRun& run) { return run.at > known; });
+  static long LaterExecutions(const ServingFleet& fleet) {
+    const std::vector<Time>& crashes = fleet.engine_ends();
+    if (crashes.size() < kQuarantineThreshold) return 0;
+    const Time known_at = crashes[kQuarantineThreshold - 1] + kPropagationTime;
+    const auto& executions = fleet.poison_runs();
+    return std::count_if(executions.begin(), executions.end(),
+                         [&](const PoisonRun& execution) { return execution.at > known_at; });
   }
 };
 
-TEST_F(PoisonRequestTest, ReachesAtMostThreeEnginesOnceTheThirdEndIsKnown) {
+TEST_F(PoisonRequestTest, IsExecutedAtMostThreeTimesOnceTheThirdCrashIsKnown) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
@@ -57,29 +58,29 @@
     fleet.Offer("chat", 20, fleet.now() + 14s, OrdinaryPrompt);
     fleet.SendPoisonRequests("chat", LongPrompt("own"), 300ms, fleet.now() + 12s);
     fleet.RunUntil(fleet.now() + 16s);
-    EXPECT_LE(LaterRuns(fleet), kMostLaterRuns)
-        << "seed " << seed << ", " << fleet.engine_ends().size() << " engines ended";
+    EXPECT_LE(LaterExecutions(fleet), kMaxLaterExecutions)
+        << "seed " << seed << ", " << fleet.engine_ends().size() << " engines crashed";
   }
 }
 
-// Guards against: ends of one engine that starts again under its id count as one end.
-TEST_F(PoisonRequestTest, AlsoWhereEnginesStartAgainUnderTheirIds) {
+// Guards against: crashes of an engine that restarts under the same id count as one crash.
+TEST_F(PoisonRequestTest, IsStoppedIfEnginesRestartUnderTheSameId) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
-    FleetEngine only;
-    only.record = MakeEngine("d0", "model", EngineStage::kUniform);
-    only.slots = 40;
-    fleet.AddEngine(only);
+    FleetEngine single_engine;
+    single_engine.record = MakeEngine("d0", "model", EngineStage::kUniform);
+    single_engine.slots = 40;
+    fleet.AddEngine(single_engine);
     fleet.set_same_ids();
     fleet.Begin();
     fleet.SendPoisonRequests("chat", LongPrompt("own"), 300ms, fleet.now() + 60s);
     fleet.RunUntil(fleet.now() + 64s);
-    EXPECT_LE(LaterRuns(fleet), kMostLaterRuns)
-        << "seed " << seed << ", " << fleet.engine_ends().size() << " lives ended";
+    EXPECT_LE(LaterExecutions(fleet), kMaxLaterExecutions)
+        << "seed " << seed << ", " << fleet.engine_ends().size() << " incarnations crashed";
   }
 }
 
-TEST_F(PoisonRequestTest, AlsoWhileAThirdOfTheMessagesBetweenNodesIsLost) {
+TEST_F(PoisonRequestTest, IsStoppedIfAThirdOfTheMessagesBetweenNodesIsLost) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
@@ -88,11 +89,11 @@
     fleet.Offer("chat", 20, fleet.now() + 14s, OrdinaryPrompt);
     fleet.SendPoisonRequests("chat", LongPrompt("own"), 50ms, fleet.now() + 12s);
     fleet.RunUntil(fleet.now() + 16s);
-    EXPECT_EQ(LaterRuns(fleet), 0) << "seed " << seed;
+    EXPECT_EQ(LaterExecutions(fleet), 0) << "seed " << seed;
   }
 }
 
-TEST_F(PoisonRequestTest, AlsoWhileNodesStartAnewOneAfterTheOther) {
+TEST_F(PoisonRequestTest, IsStoppedIfNodesRestartOneAfterTheOther) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
@@ -103,12 +104,12 @@
       fleet.RunUntil(fleet.now() + 1s);
       fleet.Restart(node % 7);
     }
-    // Who has just started may send it once before a peer's report comes.
-    EXPECT_LE(LaterRuns(fleet), kMostLaterRuns) << "seed " << seed;
+    // A restarted node may send it once before the first report of a peer arrives.
+    EXPECT_LE(LaterExecutions(fleet), kMaxLaterExecutions) << "seed " << seed;
   }
 }
 
-TEST_F(PoisonRequestTest, WhatWasOnlyBesideItIsServed) {
+TEST_F(PoisonRequestTest, RequestsThatRanNextToItAreServed) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
@@ -120,17 +121,17 @@
     fleet.ResetCounts();
     fleet.RunUntil(fleet.now() + 14s);
     EXPECT_EQ(fleet.failed(), 0) << "seed " << seed;
-    EXPECT_GE(fleet.answered(), 470) << "seed " << seed;  // 40 a second from 8 s to 20 s.
+    EXPECT_GE(fleet.answered(), 470) << "seed " << seed;  // 40 per second from 8 s to 20 s.
   }
 }
 
-TEST_F(PoisonRequestTest, EnginesThatEndOfThemselvesPutNobodyInQuarantine) {
+TEST_F(PoisonRequestTest, CrashesNotCausedByARequestQuarantineNothing) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(7, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
     fleet.Begin();
     fleet.Offer("chat", 40, fleet.now() + 14s, OrdinaryPrompt);
-    // All that answer, in turn, as they are restarted without a word; then all at once.
+    // All decode engines are restarted without notice, first one after the other, then all at once.
     for (const char* engine : {"d5", "d6", "d7", "d8"}) {
       fleet.RunUntil(fleet.now() + 500ms);
       fleet.EndEngine(engine);
--- a/tests/core/serving/retry_budget_test.cc
+++ b/tests/core/serving/retry_budget_test.cc
@@ -1,5 +1,5 @@
-// The retry budget over all nodes, whatever becomes of engines and nodes: seven nodes before nine engines, in virtual
-// time, and the count that the platform makes.
+// The retry budget holds over all nodes, whatever happens to engines and nodes: seven nodes and nine engines in virtual
+// time, with extra arrivals counted as the platform counts them.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kNodes = 7;
-constexpr int kReaders = 5;
+constexpr int kPrefillEngines = 5;
 constexpr int kEngines = 9;
 constexpr double kRatio = 0.2;
 constexpr double kSlack = 54;
@@ -23,13 +23,13 @@
     parameters.retry_budget = RetryBudgetBounds{kRatio, kWindow, kSlack, 0.8};
     return parameters;
   }
-  static std::string EngineId(int i) { return (i < kReaders ? "p" : "d") + std::to_string(i); }
+  static std::string EngineId(int i) { return (i < kPrefillEngines ? "p" : "d") + std::to_string(i); }
   static void AddEngines(ServingFleet& fleet) {
     for (int i = 0; i < kEngines; ++i) {
       FleetEngine engine;
-      const bool reads = i < kReaders;
-      engine.record = MakeEngine(EngineId(i), "model", reads ? EngineStage::kPrefill : EngineStage::kDecode);
-      engine.slots = reads ? 4 : 40;
+      const bool is_prefill = i < kPrefillEngines;
+      engine.record = MakeEngine(EngineId(i), "model", is_prefill ? EngineStage::kPrefill : EngineStage::kDecode);
+      engine.slots = is_prefill ? 4 : 40;
       fleet.AddEngine(engine);
     }
   }
@@ -40,7 +40,7 @@
   static double Worst(const ServingFleet& fleet) { return fleet.MaxBudgetExcess(kRatio, kSlack, kWindow); }
 };
 
-// Guards against: first readings whose connection is reset are sent again without being charged to the budget.
+// Guards against: first prefills whose connection is reset are retried without being charged to the budget.
 TEST_F(RetryBudgetTest, HoldsWhileMostEnginesResetMostConnections) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
@@ -54,8 +54,8 @@
   }
 }
 
-// Guards against: a node that is started again has forgotten what it spent, and spends its part of the slack once more.
-TEST_F(RetryBudgetTest, HoldsWhileNodesAreStartedAgainAndAgain) {
+// Guards against: a restarted node does not know what it spent before and spends its share of the slack again.
+TEST_F(RetryBudgetTest, HoldsWhileNodesRestartRepeatedly) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
@@ -72,8 +72,8 @@
   }
 }
 
-// Guards against: in a cut that outlasts the window, each side takes the whole slack.
-TEST_F(RetryBudgetTest, HoldsInACutThatOutlastsTheWindow) {
+// Guards against: in a network partition that lasts longer than the window, each side spends the whole slack.
+TEST_F(RetryBudgetTest, HoldsInAPartitionLongerThanTheWindow) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
     AddEngines(fleet);
@@ -88,8 +88,8 @@
   }
 }
 
-// Guards against: any mix of engines that refuse, reset or fall silent, restarts of nodes and cuts between them that
-// passes the budget.
+// Guards against: any mix of engines that refuse, reset or become unresponsive, node restarts and network partitions
+// exceeds the budget.
 RC_GTEST_FIXTURE_PROP(RetryBudgetTest, HoldsUnderRandomSchedules, ()) {
   const auto seed = *rc::gen::inRange<std::uint64_t>(1, 10000);
   ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
--- a/tests/core/serving/tenancy_test.cc
+++ b/tests/core/serving/tenancy_test.cc
@@ -1,4 +1,4 @@
-// Keys and tenants: who is served, and what becomes of the key.
+// Authentication by API key, and what depends on the tenant.
 #include "tests/support/serving_fixture.h"
 
 namespace saltquay::serving {
@@ -39,40 +39,42 @@
   }
 };
 
-TEST_F(TenancyTest, AKeyNamesItsTenantToTheEngine) {
+TEST_F(TenancyTest, KeySelectsTheTenantSentToTheEngine) {
   ArriveWithKey("safe", "key-b");
   EXPECT_EQ(One<StartAttempt>().tenant, "t1");
   ArriveWithKey("once", "key-c");
   EXPECT_EQ(One<StartAttempt>().tenant, "t2");
 }
 
-TEST_F(TenancyTest, ARequestThatEndsEnginesIsKeptFromThemForItsTenantOnly) {
+TEST_F(TenancyTest, QuarantineAppliesToOneTenantOnly) {
   constexpr std::uint64_t kRequest = 7;
-  const std::uint64_t of_first = HashPair(kRequest, HashText("t1"));
-  Send(PeerCrashesReported{{{of_first, EngineKey("e1")}, {of_first, EngineKey("e2")}, {of_first, EngineKey("e3")}}});
+  const std::uint64_t first_fingerprint = HashPair(kRequest, HashText("t1"));
+  Send(PeerCrashesReported{{{first_fingerprint, EngineKey("e1")},
+                            {first_fingerprint, EngineKey("e2")},
+                            {first_fingerprint, EngineKey("e3")}}});
   ArriveWithKey("safe", "key-a", std::nullopt, kRequest);
   EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
-  // With the tenant's other key it is the same request; another tenant's is not.
+  // With another key of the same tenant it is the same request; from another tenant it is a different one.
   ArriveWithKey("safe", "key-b", std::nullopt, kRequest);
   EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
   ArriveWithKey("safe", "key-c", std::nullopt, kRequest);
   EXPECT_EQ(One<StartAttempt>().tenant, "t2");
 }
 
-TEST_F(TenancyTest, ReadingsHandOversAndRetriesAreTheTenantsToo) {
+TEST_F(TenancyTest, PrefillHandoffAndRetryCarryTheTenant) {
   ArriveWithKey("chat", "key-a", LongPrompt());
-  const auto reading = One<StartAttempt>();
-  EXPECT_EQ(reading.mode, AttemptMode::kPrefill);
-  EXPECT_EQ(reading.tenant, "t1");
-  Answer(reading, 200, false, "handle");
-  const auto answer = One<StartAttempt>();
-  EXPECT_EQ(answer.mode, AttemptMode::kContinue);
-  EXPECT_EQ(answer.tenant, "t1");
-  Answer(answer, 503, true);
+  const auto prefill = One<StartAttempt>();
+  EXPECT_EQ(prefill.mode, AttemptMode::kPrefill);
+  EXPECT_EQ(prefill.tenant, "t1");
+  Answer(prefill, 200, false, "handle");
+  const auto decode = One<StartAttempt>();
+  EXPECT_EQ(decode.mode, AttemptMode::kContinue);
+  EXPECT_EQ(decode.tenant, "t1");
+  Answer(decode, 503, true);
   EXPECT_EQ(One<StartAttempt>().tenant, "t1");
 }
 
-TEST_F(TenancyTest, WhoHasNoGoodKeyIsRejectedBeforeAnyEngine) {
+TEST_F(TenancyTest, InvalidKeyIsRejectedBeforeAnyEngineIsCalled) {
   for (const char* key : {"", "key", "key-a ", "KEY-A", "t1"}) {
     ArriveWithKey("safe", key);
     EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized) << key;
@@ -81,7 +83,7 @@
   EXPECT_EQ(core_.flows(), 0U);
 }
 
-TEST_F(TenancyTest, AnonymousRoutesNeedNoKeyButTakeNoWrongOne) {
+TEST_F(TenancyTest, AnonymousRouteAcceptsNoKeyButRejectsAWrongOne) {
   ArriveWithKey("open", "");
   EXPECT_EQ(One<StartAttempt>().tenant, "");
   ArriveWithKey("open", "key-c");
@@ -90,19 +92,19 @@
   EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
 }
 
-TEST_F(TenancyTest, KeysAreTakenAwayAndAddedWithTheVersion) {
+TEST_F(TenancyTest, KeysAreRevokedAndAddedWithTheConfiguration) {
   Configure(WithTenants(3, {{"t1", {"key-a"}, 1}, {"t2", {"key-d"}, std::nullopt}, {"t3", {}, std::nullopt}}));
   ArriveWithKey("safe", "key-b");
   EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
   ArriveWithKey("safe", "key-d");
   EXPECT_EQ(One<StartAttempt>().tenant, "t2");
-  Configure(WithTenants(2, {{"t1", {"key-b"}, 1}}));  // Older: it changes nothing.
+  Configure(WithTenants(2, {{"t1", {"key-b"}, 1}}));  // Older version: ignored.
   ArriveWithKey("safe", "key-b");
   EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
 }
 
-// A key that this node has not heard of may be new: that is no reason for an answer that callers take as final.
-TEST_F(TenancyTest, AnUnknownKeyIsNoVerdictWhileTheStoreIsNotHeard) {
+// An unknown key may be new, so it must not be rejected with a status that clients take as final.
+TEST_F(TenancyTest, UnknownKeyIsUnavailableWhileNotConnectedToTheStore) {
   Send(StoreConnectivityChanged{false});
   ArriveWithKey("safe", "new-key");
   const auto answer = One<SendLocalReply>();
@@ -114,7 +116,7 @@
   EXPECT_EQ(All<StartAttempt>().size(), 1U);
 }
 
-TEST_F(TenancyTest, WithoutTenantsEverybodyIsServed) {
+TEST_F(TenancyTest, AllKeysAreAcceptedIfKeysAreNotRequired) {
   ServingConfig config = MakeConfig();
   config.version = 3;
   Configure(config);
@@ -122,38 +124,38 @@
   EXPECT_EQ(One<StartAttempt>().tenant, "");
 }
 
-TEST_F(TenancyTest, ATenantWithoutAnyTenantListedIsRejected) {
+TEST_F(TenancyTest, AllKeysAreRejectedIfNoTenantIsConfigured) {
   Configure(WithTenants(3, {}));
   ArriveWithKey("safe", "key-a");
   EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
 }
 
-TEST_F(TenancyTest, ATenantsPriorityGoesBeforeTheRoutes) {
+TEST_F(TenancyTest, TenantPriorityOverridesTheRoutes) {
   ArriveWithKey("safe", "key-a");
   EXPECT_EQ(One<StartAttempt>().priority, 1);
   ArriveWithKey("safe", "key-c");
   EXPECT_EQ(One<StartAttempt>().priority, 5);
 }
 
-// Whose usage it is when no answer comes: a plain engine begins at once, a language engine with its first token.
-TEST_F(TenancyTest, UsageCountsWhatBeganAndOnce) {
+// A plain engine starts executing on receipt, a language engine with its first token.
+TEST_F(TenancyTest, UsageCountsEachExecutedRequestOnce) {
   ArriveWithKey("once", "key-a");
   const auto answered = One<StartAttempt>();
   Answer(answered, 200);
   EXPECT_EQ(One<ExecutionStarted>().tenant, "t1");
   ArriveWithKey("once", "key-c");
   Answer(One<StartAttempt>(), 503, true);
-  EXPECT_TRUE(All<ExecutionStarted>().empty());  // Refused: it did not run.
+  EXPECT_TRUE(All<ExecutionStarted>().empty());  // Refused, so not executed.
   ArriveWithKey("safe", "key-c");
   const auto first = One<StartAttempt>();
   Head(first, 500);
   EXPECT_EQ(All<ExecutionStarted>().size(), 1U);
   Send(AttemptCompleted{first.flow, first.attempt, ""});
   Answer(One<StartAttempt>(), 200);
-  EXPECT_TRUE(All<ExecutionStarted>().empty());  // It ran again, and is one request.
+  EXPECT_TRUE(All<ExecutionStarted>().empty());  // Executed twice, but one request.
 }
 
-TEST_F(TenancyTest, UsageCountsPlainRequestsThatNobodyWaitsForAnyMore) {
+TEST_F(TenancyTest, UsageCountsPlainRequestsWhoseFlowEndedWithoutAResponse) {
   for (const char* route : {"once", "safe"}) {
     ArriveWithKey(route, "key-a");
     const Time sent = now_;
@@ -170,7 +172,7 @@
   EXPECT_TRUE(All<ExecutionStarted>().empty());
 }
 
-TEST_F(TenancyTest, NoLogLineHoldsAKey) {
+TEST_F(TenancyTest, KeysAreNeverLogged) {
   std::string log = Log();
   for (const char* key : {"key-a", "key-c", "secret-and-wrong"}) {
     ArriveWithKey("safe", key);
--- a/tests/core/serving/tenant_limit_test.cc
+++ b/tests/core/serving/tenant_limit_test.cc
@@ -1,4 +1,4 @@
-// Requests of tenants that have a limit: who is admitted, and what becomes of the charge.
+// Tenant limits: which requests are admitted, and when their charges are confirmed or refunded.
 #include "tests/support/serving_fixture.h"
 
 namespace saltquay::serving {
@@ -7,15 +7,15 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-// Decides as the test says and keeps what the core told it.
+// Returns the decisions that the test sets and records the calls of the core.
 class ScriptedLimiter final : public limits::Limiter {
  public:
   void set_limits(Time, const std::map<std::string, limits::TenantLimit>& limits) override { limits_ = limits; }
   void set_nodes(Time, const std::vector<limits::LimiterNode>&) override {}
   void set_reachable_nodes(Time, const limits::Reach&) override {}
   limits::Decision admit(Time, std::uint64_t request, std::string_view, std::int64_t cost) override {
-    asked_[request] = cost;
-    return next_;
+    requested_costs_[request] = cost;
+    return next_decision_;
   }
   void settle(std::uint64_t request) override { settled_.push_back(request); }
   void refund(Time, std::uint64_t request) override { refunded_.push_back(request); }
@@ -26,17 +26,17 @@
   limits::LimiterOutput take_output() override { return std::exchange(output_, {}); }
   std::vector<limits::LimitStatus> status(Time) const override { return {}; }
 
-  limits::Decision next_;
+  limits::Decision next_decision_;
   limits::LimiterOutput output_;
   std::map<std::string, limits::TenantLimit> limits_;
-  std::map<std::uint64_t, std::int64_t> asked_;  // Costs.
+  std::map<std::uint64_t, std::int64_t> requested_costs_;  // Cost by request.
   std::vector<std::uint64_t> settled_;
   std::vector<std::uint64_t> refunded_;
 };
 
-class LimitTest : public ServingFixture {
+class TenantLimitTest : public ServingFixture {
  protected:
-  LimitTest() {
+  TenantLimitTest() {
     auto limiter = std::make_unique<ScriptedLimiter>();
     limiter_ = limiter.get();
     core_.set_limiter(std::move(limiter));
@@ -69,24 +69,26 @@
   }
 
   static limits::Decision Pending() { return {limits::Verdict::Pending, 0s, false, {}}; }
-  static limits::Decision Over(Duration retry_after) { return {limits::Verdict::Refused, retry_after, true, "home"}; }
+  static limits::Decision OverLimit(Duration retry_after) {
+    return {limits::Verdict::Refused, retry_after, true, "home"};
+  }
 
   ScriptedLimiter* limiter_ = nullptr;
 };
 
-TEST_F(LimitTest, ARequestCostsItsTokensOrWhatAPlainOneCosts) {
+TEST_F(TenantLimitTest, RequestCostsItsTokensOrThePlainCost) {
   const FlowId with_prompt = ArriveWithKey("chat", "key-a", LongPrompt());
   const FlowId plain = ArriveWithKey("safe", "key-a");
-  EXPECT_EQ(limiter_->asked_, (std::map<std::uint64_t, std::int64_t>{{with_prompt, 17100}, {plain, 40}}));
+  EXPECT_EQ(limiter_->requested_costs_, (std::map<std::uint64_t, std::int64_t>{{with_prompt, 17100}, {plain, 40}}));
 }
 
-TEST_F(LimitTest, InRequestsEachCostsOne) {
+TEST_F(TenantLimitTest, RequestCostsOneIfTheUnitIsRequests) {
   Send(ConfigurationChanged{WithLimit(3, {10, 5, limits::LimitUnit::Requests, 40})});
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
-  EXPECT_EQ(limiter_->asked_[flow], 1);
+  EXPECT_EQ(limiter_->requested_costs_[flow], 1);
 }
 
-TEST_F(LimitTest, AVersionsLimitsAreHandedOnAndTenantsWithoutOneLeftOut) {
+TEST_F(TenantLimitTest, LimiterGetsOnlyTheTenantsWithALimit) {
   EXPECT_EQ(limiter_->limits_.size(), 1U);
   EXPECT_EQ(limiter_->limits_.at("t1").rate_per_s, 1000);
   EXPECT_TRUE(core_.has_limits());
@@ -95,8 +97,8 @@
   EXPECT_FALSE(core_.has_limits());
 }
 
-TEST_F(LimitTest, ARequestAboveTheLimitIsRejectedWithTheTimeFromWhenItWouldFit) {
-  limiter_->next_ = Over(1700ms);
+TEST_F(TenantLimitTest, RequestOverTheLimitIsRejectedWithRetryAfter) {
+  limiter_->next_decision_ = OverLimit(1700ms);
   ArriveWithKey("safe", "key-a");
   EXPECT_EQ(One<SendLocalReply>().status, kTooManyRequests);
   EXPECT_EQ(One<SendLocalReply>().retry_after, Duration(1700ms));
@@ -105,15 +107,15 @@
   EXPECT_TRUE(limiter_->settled_.empty());
 }
 
-TEST_F(LimitTest, WhereNobodyCanTellTheRequestIsUnavailable) {
-  limiter_->next_ = {limits::Verdict::Refused, 300ms, false, ""};
+TEST_F(TenantLimitTest, RequestIsUnavailableIfTheLimitCannotBeChecked) {
+  limiter_->next_decision_ = {limits::Verdict::Refused, 300ms, false, ""};
   ArriveWithKey("safe", "key-a");
   EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
   EXPECT_EQ(One<SendLocalReply>().retry_after, Duration(300ms));
 }
 
-TEST_F(LimitTest, NothingIsSentToAnEngineBeforeTheDecision) {
-  limiter_->next_ = Pending();
+TEST_F(TenantLimitTest, NothingIsSentToAnEngineBeforeTheDecision) {
+  limiter_->next_decision_ = Pending();
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
   EXPECT_TRUE(All<StartAttempt>().empty());
   Pass(200ms);
@@ -124,16 +126,16 @@
   EXPECT_EQ(One<StartAttempt>().flow, flow);
 }
 
-TEST_F(LimitTest, APendingRequestMayBeRefused) {
-  limiter_->next_ = Pending();
+TEST_F(TenantLimitTest, PendingRequestMayBeRefused) {
+  limiter_->next_decision_ = Pending();
   const FlowId flow = ArriveWithKey("safe", "key-a");
-  Decide(flow, Over(2s));
+  Decide(flow, OverLimit(2s));
   EXPECT_EQ(One<SendLocalReply>().status, kTooManyRequests);
   EXPECT_EQ(core_.flows(), 0U);
 }
 
-TEST_F(LimitTest, WhoLeavesBeforeTheDecisionIsGivenBackAndNotServed) {
-  limiter_->next_ = Pending();
+TEST_F(TenantLimitTest, ClientDisconnectBeforeTheDecisionIsRefundedAndNotServed) {
+  limiter_->next_decision_ = Pending();
   const FlowId flow = ArriveWithKey("safe", "key-a");
   Send(ClientDisconnected{flow});
   EXPECT_EQ(limiter_->refunded_, std::vector<std::uint64_t>{flow});
@@ -141,15 +143,15 @@
   EXPECT_TRUE(All<StartAttempt>().empty());
 }
 
-TEST_F(LimitTest, APendingRequestWhoseTimeIsUpIsGivenBack) {
-  limiter_->next_ = Pending();
+TEST_F(TenantLimitTest, PendingRequestIsRefundedAtItsDeadline) {
+  limiter_->next_decision_ = Pending();
   const FlowId flow = ArriveWithKey("safe", "key-a");
   Pass(5s);
   EXPECT_EQ(One<SendLocalReply>().status, kUnavailable);
   EXPECT_EQ(limiter_->refunded_, std::vector<std::uint64_t>{flow});
 }
 
-TEST_F(LimitTest, WhatNoEngineTookIsGivenBack) {
+TEST_F(TenantLimitTest, RequestThatNoEngineAcceptedIsRefunded) {
   const FlowId flow = ArriveWithKey("once", "key-a");
   for (int tries = 0; tries < 20 && core_.flows() > 0; ++tries) {
     const auto starts = All<StartAttempt>();
@@ -165,7 +167,7 @@
   EXPECT_TRUE(limiter_->settled_.empty());
 }
 
-TEST_F(LimitTest, WhatMayHaveRunStaysCharged) {
+TEST_F(TenantLimitTest, RequestThatMayHaveBeenExecutedStaysCharged) {
   const FlowId flow = ArriveWithKey("once", "key-a");
   Fail(One<StartAttempt>(), AttemptFailure::kBroken);
   EXPECT_EQ(core_.flows(), 0U);
@@ -173,35 +175,35 @@
   EXPECT_TRUE(limiter_->refunded_.empty());
 }
 
-TEST_F(LimitTest, WhatRanStaysCharged) {
+TEST_F(TenantLimitTest, ExecutedRequestStaysCharged) {
   const FlowId flow = ArriveWithKey("safe", "key-a");
   Answer(One<StartAttempt>(), 200);
   EXPECT_EQ(limiter_->settled_, std::vector<std::uint64_t>{flow});
   EXPECT_TRUE(limiter_->refunded_.empty());
 }
 
-TEST_F(LimitTest, APromptThatWasOnlyReadIsGivenBack) {
+TEST_F(TenantLimitTest, PromptThatWasOnlyPrefilledIsRefunded) {
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
-  int read = 0;
+  int prefills = 0;
   for (int tries = 0; tries < 40 && core_.flows() > 0; ++tries) {
     const auto starts = All<StartAttempt>();
     if (starts.empty()) {
       Pass(50ms);
     } else if (starts.front().mode == AttemptMode::kPrefill) {
-      ++read;
+      ++prefills;
       Answer(starts.front(), 200, false, "handle");
     } else {
       Answer(starts.front(), 503, true);
     }
   }
   Pass(5s);
-  EXPECT_GT(read, 0);
+  EXPECT_GT(prefills, 0);
   EXPECT_EQ(core_.flows(), 0U);
   EXPECT_EQ(limiter_->refunded_, std::vector<std::uint64_t>{flow});
   EXPECT_TRUE(limiter_->settled_.empty());
 }
 
-TEST_F(LimitTest, APromptThatIsBeingReadIsGivenBack) {
+TEST_F(TenantLimitTest, PromptIsRefundedDuringPrefill) {
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
   ASSERT_EQ(One<StartAttempt>().mode, AttemptMode::kPrefill);
   Send(ClientDisconnected{flow});
@@ -209,7 +211,7 @@
   EXPECT_TRUE(limiter_->settled_.empty());
 }
 
-TEST_F(LimitTest, APromptWhoseAnswerWasAskedForStaysCharged) {
+TEST_F(TenantLimitTest, PromptStaysChargedOnceDecodeWasRequested) {
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
   ASSERT_EQ(One<StartAttempt>().mode, AttemptMode::kContinue);
@@ -218,7 +220,7 @@
   EXPECT_TRUE(limiter_->refunded_.empty());
 }
 
-TEST_F(LimitTest, APromptThatEnginesRefusedToReadIsGivenBack) {
+TEST_F(TenantLimitTest, PromptWhosePrefillWasRefusedIsRefunded) {
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
   for (int tries = 0; tries < 20 && core_.flows() > 0; ++tries) {
     const auto starts = All<StartAttempt>();
@@ -233,21 +235,21 @@
   EXPECT_EQ(limiter_->refunded_, std::vector<std::uint64_t>{flow});
 }
 
-TEST_F(LimitTest, ARetryIsChargedOnce) {
+TEST_F(TenantLimitTest, RetriedRequestIsChargedOnce) {
   ArriveWithKey("safe", "key-a");
   Fail(One<StartAttempt>(), AttemptFailure::kNotSent);
   Answer(One<StartAttempt>(), 200);
-  EXPECT_EQ(limiter_->asked_.size(), 1U);
+  EXPECT_EQ(limiter_->requested_costs_.size(), 1U);
   EXPECT_EQ(limiter_->settled_.size(), 1U);
 }
 
-TEST_F(LimitTest, TenantsWithoutALimitAndAnonymousCallersAreNotAsked) {
-  limiter_->next_ = Over(1s);
+TEST_F(TenantLimitTest, TenantsWithoutALimitAndAnonymousClientsSkipTheLimiter) {
+  limiter_->next_decision_ = OverLimit(1s);
   ArriveWithKey("safe", "key-b");
   EXPECT_EQ(One<StartAttempt>().tenant, "free");
   ArriveWithKey("open", "");
   EXPECT_EQ(One<StartAttempt>().tenant, "");
-  EXPECT_TRUE(limiter_->asked_.empty());
+  EXPECT_TRUE(limiter_->requested_costs_.empty());
 }
 
 }  // namespace
