--- a/include/saltquay/fetch/fetcher.h
+++ b/include/saltquay/fetch/fetcher.h
@@ -1,5 +1,5 @@
-// Calls that want a whole, small answer within a time: to the store, to peers,
-// and to engines for control. Requests of callers do not go this way.
+// HTTP calls that need a complete, small response within a time limit: to the store, to peers, and control calls to
+// engines. Client requests are not sent this way.
 #pragma once
 
 #include <chrono>
@@ -21,10 +21,10 @@
 };
 
 struct Options {
-    std::string pool; // Calls of one pool share kept connections.
+    std::string pool; // Calls of one pool share keep-alive connections.
     std::chrono::milliseconds connect_timeout { 500 };
-    std::chrono::milliseconds timeout { 1500 }; // For the whole answer.
-    // Until its first bytes, and between any two parts of it; zero: only the whole is timed.
+    std::chrono::milliseconds timeout { 1500 }; // For the complete response.
+    // Until the first bytes, and between any two parts of the response; zero: only the complete response is timed.
     std::chrono::milliseconds stall_timeout { 0 };
 };
 
@@ -32,10 +32,10 @@
 
 class Fetcher {
 public:
-    // Runs later on the loop's thread, once. Errors:
+    // Runs once, later, on the loop's thread. Errors:
     //   kInvalidArgument   the address is not ip:port.
     //   kUnavailable       the request was not sent.
-    //   kDeadlineExceeded  no answer in time, or it broke off: the peer may have acted.
+    //   kDeadlineExceeded  no complete response in time, or it was aborted: the peer may have acted.
     using Handler = std::function<void(absl::StatusOr<Reply>)>;
 
     explicit Fetcher(boost::asio::io_context& loop)
@@ -45,14 +45,14 @@
     }
 
     FetchId fetch(std::string_view address, http::RequestHead const&, std::string_view body, Options const&, Handler);
-    // The handler does not run any more, and the connection ends.
+    // The handler will not run, and the connection is closed.
     void cancel(FetchId id) { pending_.erase(id); }
 
 private:
     struct Pending;
 
     void restart_stall_timer(FetchId, Pending&);
-    void give_up(FetchId, std::string const& cause);
+    void time_out(FetchId, std::string const& cause);
     void finish(FetchId, absl::StatusOr<Reply>);
     http::CallHandlers make_handlers(FetchId, std::shared_ptr<Pending> const&);
 
--- a/src/fetch/fetcher.cc
+++ b/src/fetch/fetcher.cc
@@ -42,7 +42,7 @@
     pending->timer.expires_after(options.timeout);
     pending->timer.async_wait([this, id](boost::system::error_code error) {
         if (!error)
-            give_up(id, "no answer in time");
+            time_out(id, "no complete response in time");
     });
     pending->stall_timeout = options.stall_timeout;
     restart_stall_timer(id, *pending);
@@ -56,18 +56,18 @@
     pending.stall_timer.expires_after(pending.stall_timeout);
     pending.stall_timer.async_wait([this, id](boost::system::error_code error) {
         if (!error)
-            give_up(id, "the answer stalled");
+            time_out(id, "the response stalled");
     });
 }
 
 http::CallHandlers Fetcher::make_handlers(FetchId id, std::shared_ptr<Pending> const& pending)
 {
-    // The call is owned by what is pending, and must not own it in turn.
+    // The Pending entry owns the call, which must not own it in turn.
     std::weak_ptr<Pending> const weak = pending;
     http::CallHandlers handlers;
-    handlers.on_head = [weak](http::ResponseHead const& answer) {
+    handlers.on_head = [weak](http::ResponseHead const& head) {
         if (auto const call = weak.lock())
-            call->reply.status = answer.status;
+            call->reply.status = head.status;
     };
     handlers.on_body = [this, id, weak](std::string_view bytes) {
         if (auto const call = weak.lock()) {
@@ -81,13 +81,15 @@
     };
     handlers.on_failure = [this, id](http::CallFailure failure) {
         auto const sent = failure != http::CallFailure::kNotSent;
-        finish(id, sent ? absl::DeadlineExceededError("the answer was lost") : absl::UnavailableError("not reached"));
+        finish(id,
+            sent ? absl::DeadlineExceededError("the connection was lost before the response was complete")
+                 : absl::UnavailableError("the peer is unreachable"));
     };
     return handlers;
 }
 
-// What silenced this connection may have silenced the others to that peer: the next call takes a new one.
-void Fetcher::give_up(FetchId id, std::string const& cause)
+// The pool's other connections to that peer may be blackholed too: the next call opens a new connection.
+void Fetcher::time_out(FetchId id, std::string const& cause)
 {
     auto const entry = pending_.find(id);
     if (entry == pending_.end())
@@ -105,7 +107,7 @@
     pending_.erase(entry);
     pending->timer.cancel();
     pending->stall_timer.cancel();
-    // The call may be what runs now: it ends after this.
+    // This may run inside the call's own handler, so the call is destroyed later.
     boost::asio::post(loop_, [pending] { pending->call.reset(); });
     pending->done(std::move(reply));
 }
