--- a/include/saltquay/replica/record_replica.h
+++ b/include/saltquay/replica/record_replica.h
@@ -1,7 +1,7 @@
-// A node's copy of one kind of the store's objects, with the recent changes.
+// A node's copy of the store's objects of one kind, with a bounded history of recent changes.
 //
-// It is filled by what the store answers (a list, then batches of changes) and
-// answers peers that follow this node instead of the store.
+// It is filled from the store's responses (a list, then batches of changes) and serves peers that follow this node
+// instead of the store.
 #pragma once
 
 #include <chrono>
@@ -15,11 +15,14 @@
 
 namespace saltquay::replica {
 
-// Where what a node passes on comes from.
+// How relayed content reached the sender, and how old it is.
 struct Provenance {
-    int hops = 0; // Nodes that it went through since the store: 0 from one that reads the store.
-    std::optional<std::chrono::milliseconds> age; // Since the store confirmed it; nothing where that is not known.
-    std::chrono::milliseconds held { 0 };         // How long the question was there when the answer was written.
+    // Hops since the store: 0 when sent by a node that reads the store.
+    int hops = 0;
+    // Time since the store confirmed the content; empty if unknown.
+    std::optional<std::chrono::milliseconds> age;
+    // How long the request was held open before the response was written.
+    std::chrono::milliseconds hold_time { 0 };
 };
 struct RelayedList {
     gateway::ObjectList list;
@@ -32,21 +35,21 @@
 
 class RecordReplica {
 public:
-    // What is kept of the past, in bytes of content; older changes are forgotten.
+    // Limit of the history in bytes of content; older changes are evicted.
     static constexpr std::size_t max_history_bytes = 1024 * 1024;
 
     void replace(gateway::ObjectList const&);
     void apply(gateway::ObjectEvents const&);
 
-    bool known() const { return known_; }
-    // The store's revision up to which this copy is complete.
+    bool has_snapshot() const { return has_snapshot_; }
+    // The store revision up to which this copy is complete.
     std::int64_t at() const { return at_; }
-    // The revision of the last change that this copy holds.
+    // The revision of the newest change in this copy.
     std::int64_t changed_at() const { return changed_at_; }
 
     gateway::ObjectList list() const;
-    // Changes after `revision`, in their order; a change may come again that the asker has already. Nothing where
-    // they are forgotten, or where the asker knows more than this copy.
+    // Returns the changes after `revision` in order; changes that the requester already has may be included. Returns
+    // nothing if those changes were evicted, or if `revision` is newer than this copy.
     std::optional<gateway::ObjectEvents> changes_since(std::int64_t revision) const;
 
 private:
@@ -56,14 +59,14 @@
         std::vector<gateway::ObjectEvent> events;
     };
 
-    void note_change(gateway::ObjectEvent const&);
-    void forget_old_changes();
+    void apply_event(gateway::ObjectEvent const&);
+    void evict_old_changes();
 
-    bool known_ = false;
+    bool has_snapshot_ = false;
     std::int64_t at_ = 0;
     std::int64_t changed_at_ = 0;
-    std::int64_t history_from_ = 0; // Changes after this revision are in history_.
-    std::size_t held_bytes_ = 0;
+    std::int64_t history_from_ = 0; // history_ holds the changes after this revision.
+    std::size_t history_size_ = 0;
     std::deque<Batch> history_;
     std::map<std::string, gateway::StoredObject> objects_;
 };
--- a/include/saltquay/replica/relay_server.h
+++ b/include/saltquay/replica/relay_server.h
@@ -1,7 +1,6 @@
-// Answers followers: GET /records/KIND lists; with since=REVISION and wait_ms
-// it answers changes as they come. 410: forgotten, list again. 425: this node has
-// just started and knows nothing yet. 503: this node
-// does not hear the store, neither itself nor through others.
+// HTTP server for followers. GET /records/KIND lists the objects of a kind; with since=REVISION and wait_ms it is a
+// long-polling watch. Errors: 410: the changes since that revision were evicted, list again. 425: this node has just
+// started and has no copy yet. 503: this node is not connected to the store, neither directly nor through other nodes.
 #pragma once
 
 #include <memory>
@@ -17,30 +16,32 @@
 public:
     RelayServer(boost::asio::io_context&, RelayedStore&);
 
-    // Errors say which address cannot be bound.
+    // Errors name the address that cannot be bound.
     absl::Status listen(std::string const& address);
-    // Changes of that kind are there, or it is confirmed that there are none.
+    // Responds to pending watches of `kind` after its changes arrived or the copy was confirmed without changes.
     void on_record_update(std::string const& kind);
 
 private:
-    struct Waiting {
+    struct PendingWatch {
         std::shared_ptr<http::Exchange> exchange;
         std::string kind;
         std::int64_t since = 0;
-        Time asked {};
+        Time requested_at {};
         Time until {};
-        Time confirmed {}; // Of the kind, when the question came.
+        // When the copy of the kind was last confirmed at the arrival of the request.
+        Time confirmed {};
     };
 
     void handle(std::shared_ptr<http::Exchange> const&);
-    // Answers with changes, when there are none once that is confirmed anew or the time is up. Returns whether it did.
-    bool try_answer(Waiting const&, bool time_is_up);
-    void sweep();
+    // Responds with changes; without any, responds only once the copy was confirmed again or the watch timed out.
+    // Returns whether it responded.
+    bool try_respond(PendingWatch const&, bool timed_out);
+    void check_pending_watches();
 
     RelayedStore& store_;
     boost::asio::io_context& loop_;
     BootTimer timer_;
-    std::vector<Waiting> waiting_;
+    std::vector<PendingWatch> pending_watches_;
     std::unique_ptr<http::Server> server_;
 };
 
--- a/src/replica/freshness_tracker.cc
+++ b/src/replica/freshness_tracker.cc
@@ -11,7 +11,7 @@
     : parameters_(parameters)
     , on_stale_(std::move(on_stale))
     , timer_(loop)
-    , next_attempt_(parameters.initial_retry_delay)
+    , retry_delay_(parameters.initial_retry_delay)
 {
 }
 
@@ -21,26 +21,26 @@
         return;
     confirmed_ = valid_as_of;
     hops_ = hops;
-    next_attempt_ = parameters_.initial_retry_delay;
-    arm(std::max(Duration {}, confirmed_ + limit() - BootNow()));
+    retry_delay_ = parameters_.initial_retry_delay;
+    schedule_check(std::max(Duration {}, confirmed_ + limit() - BootNow()));
 }
 
 std::chrono::milliseconds FreshnessTracker::time_to_next_confirmation(Time now) const
 {
-    // A watch that returns at once would be a poll.
-    constexpr std::chrono::milliseconds shortest { 100 };
+    // A watch with a shorter timeout would amount to polling.
+    constexpr std::chrono::milliseconds min_watch_wait { 100 };
     auto const left = std::chrono::duration_cast<std::chrono::milliseconds>(parameters_.confirm_interval - age(now));
-    return std::clamp(left, shortest, parameters_.confirm_interval);
+    return std::clamp(left, min_watch_wait, parameters_.confirm_interval);
 }
 
-void FreshnessTracker::arm(Duration delay)
+void FreshnessTracker::schedule_check(Duration delay)
 {
     timer_.expires_after(delay);
     timer_.async_wait([this](boost::system::error_code error) {
         if (error || is_fresh(BootNow()))
             return;
-        arm(next_attempt_);
-        next_attempt_ = std::min(2 * next_attempt_, parameters_.max_retry_delay);
+        schedule_check(retry_delay_);
+        retry_delay_ = std::min(2 * retry_delay_, parameters_.max_retry_delay);
         on_stale_();
     });
 }
--- a/src/replica/record_codec.cc
+++ b/src/replica/record_codec.cc
@@ -20,7 +20,8 @@
     std::vector<flatbuffers::Offset<wire::Record>> const& records)
 {
     auto const age = from.age ? from.age->count() : unknown_age;
-    builder.Finish(wire::CreateRecords(builder, at, builder.CreateVector(records), from.hops, age, from.held.count()));
+    builder.Finish(
+        wire::CreateRecords(builder, at, builder.CreateVector(records), from.hops, age, from.hold_time.count()));
     return { reinterpret_cast<char const*>(builder.GetBufferPointer()), builder.GetSize() };
 }
 
@@ -28,7 +29,7 @@
 {
     flatbuffers::Verifier verifier(reinterpret_cast<std::uint8_t const*>(bytes.data()), bytes.size());
     if (!wire::VerifyRecordsBuffer(verifier))
-        return absl::UnavailableError("a peer's records do not decode; check that its version is this node's");
+        return absl::UnavailableError("cannot decode a peer's records; check that both nodes run the same version");
     return wire::GetRecords(bytes.data());
 }
 
@@ -38,7 +39,7 @@
     from.hops = records.hops();
     if (records.age_ms() >= 0)
         from.age = std::chrono::milliseconds(records.age_ms());
-    from.held = std::chrono::milliseconds(records.held_ms());
+    from.hold_time = std::chrono::milliseconds(records.held_ms());
     return from;
 }
 
@@ -51,22 +52,22 @@
 
 }
 
-std::string encode(RelayedList const& passed)
+std::string encode(RelayedList const& relayed)
 {
     flatbuffers::FlatBufferBuilder builder(initial_bytes);
     std::vector<flatbuffers::Offset<wire::Record>> records;
-    for (auto const& object : passed.list.items)
+    for (auto const& object : relayed.list.items)
         records.push_back(add(builder, object, false));
-    return finish(builder, passed.list.at, passed.from, records);
+    return finish(builder, relayed.list.at, relayed.from, records);
 }
 
-std::string encode(RelayedEvents const& passed)
+std::string encode(RelayedEvents const& relayed)
 {
     flatbuffers::FlatBufferBuilder builder(initial_bytes);
     std::vector<flatbuffers::Offset<wire::Record>> records;
-    for (auto const& event : passed.events.events)
+    for (auto const& event : relayed.events.events)
         records.push_back(add(builder, event.object, event.gone));
-    return finish(builder, passed.events.at, passed.from, records);
+    return finish(builder, relayed.events.at, relayed.from, records);
 }
 
 absl::StatusOr<RelayedList> decode_list(std::string_view bytes)
@@ -74,14 +75,14 @@
     auto const verified = verify(bytes);
     if (!verified.ok())
         return verified.status();
-    RelayedList passed;
-    passed.from = to_provenance(**verified);
-    passed.list.at = (*verified)->at();
+    RelayedList relayed;
+    relayed.from = to_provenance(**verified);
+    relayed.list.at = (*verified)->at();
     if ((*verified)->records() != nullptr) {
         for (auto const* record : *(*verified)->records())
-            passed.list.items.push_back(to_object(*record));
+            relayed.list.items.push_back(to_object(*record));
     }
-    return passed;
+    return relayed;
 }
 
 absl::StatusOr<RelayedEvents> decode_events(std::string_view bytes)
@@ -89,14 +90,14 @@
     auto const verified = verify(bytes);
     if (!verified.ok())
         return verified.status();
-    RelayedEvents passed;
-    passed.from = to_provenance(**verified);
-    passed.events.at = (*verified)->at();
+    RelayedEvents relayed;
+    relayed.from = to_provenance(**verified);
+    relayed.events.at = (*verified)->at();
     if ((*verified)->records() != nullptr) {
         for (auto const* record : *(*verified)->records())
-            passed.events.events.push_back({ record->gone(), to_object(*record) });
+            relayed.events.events.push_back({ record->gone(), to_object(*record) });
     }
-    return passed;
+    return relayed;
 }
 
 }
--- a/src/replica/record_codec.h
+++ b/src/replica/record_codec.h
@@ -1,4 +1,4 @@
-// The form in which nodes pass the store's objects on (FlatBuffers, records.fbs).
+// Wire format of relayed store objects (FlatBuffers, records.fbs).
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 std::string encode(RelayedList const&);
 std::string encode(RelayedEvents const&);
 
-// Errors: kUnavailable for bytes that do not verify.
+// Errors: kUnavailable if the bytes fail verification.
 absl::StatusOr<RelayedList> decode_list(std::string_view bytes);
 absl::StatusOr<RelayedEvents> decode_events(std::string_view bytes);
 
--- a/src/replica/record_replica.cc
+++ b/src/replica/record_replica.cc
@@ -6,7 +6,7 @@
 
 void RecordReplica::replace(gateway::ObjectList const& list)
 {
-    known_ = true;
+    has_snapshot_ = true;
     objects_.clear();
     for (auto const& object : list.items) {
         objects_[object.name] = object;
@@ -14,7 +14,7 @@
     }
     at_ = list.at;
     history_.clear();
-    held_bytes_ = 0;
+    history_size_ = 0;
     history_from_ = list.at;
 }
 
@@ -26,31 +26,31 @@
         batch.events = changes.events;
         for (auto const& event : changes.events) {
             batch.bytes += event.object.content.size();
-            note_change(event);
+            apply_event(event);
         }
-        held_bytes_ += batch.bytes;
+        history_size_ += batch.bytes;
         history_.push_back(std::move(batch));
-        forget_old_changes();
+        evict_old_changes();
     }
     at_ = std::max(at_, changes.at);
 }
 
-void RecordReplica::note_change(gateway::ObjectEvent const& event)
+void RecordReplica::apply_event(gateway::ObjectEvent const& event)
 {
     if (event.gone) {
         objects_.erase(event.object.name);
     } else {
         objects_[event.object.name] = event.object;
     }
-    // Not the batch's revision: nodes get other batches, and must agree on what they know.
+    // Not the batch's revision: nodes receive different batches and must agree on the revision of the newest change.
     changed_at_ = std::max(changed_at_, event.object.revision);
 }
 
-void RecordReplica::forget_old_changes()
+void RecordReplica::evict_old_changes()
 {
-    while (held_bytes_ > max_history_bytes && history_.size() > 1) {
+    while (history_size_ > max_history_bytes && history_.size() > 1) {
         history_from_ = history_.front().up_to;
-        held_bytes_ -= history_.front().bytes;
+        history_size_ -= history_.front().bytes;
         history_.pop_front();
     }
 }
@@ -66,7 +66,7 @@
 
 std::optional<gateway::ObjectEvents> RecordReplica::changes_since(std::int64_t revision) const
 {
-    if (!known_ || revision < history_from_ || revision > at_)
+    if (!has_snapshot_ || revision < history_from_ || revision > at_)
         return std::nullopt;
     gateway::ObjectEvents changes;
     changes.at = at_;
--- a/src/replica/relay_server.cc
+++ b/src/replica/relay_server.cc
@@ -15,23 +15,23 @@
 constexpr int too_early = 425;
 constexpr int unavailable = 503;
 constexpr std::string_view prefix = "/records/";
-constexpr std::chrono::milliseconds sweep_interval { 100 };
-constexpr std::chrono::milliseconds longest_wait { 2000 };
+constexpr std::chrono::milliseconds pending_watch_check_interval { 100 };
+constexpr std::chrono::milliseconds max_watch_wait { 2000 };
 
-void answer(http::Exchange& exchange, int status, std::string_view body)
+void respond(http::Exchange& exchange, int status, std::string_view body)
 {
     http::ResponseHead head;
     head.status = status;
     exchange.Respond(head, body);
 }
 
-// The number given as NAME=NUMBER in the target's query; nothing where there is none.
+// Returns the number given as NAME=NUMBER in the target's query, if any.
 std::optional<std::int64_t> query_number(std::string_view target, std::string_view name)
 {
-    auto const question = target.find('?');
-    if (question == std::string_view::npos)
+    auto const question_mark = target.find('?');
+    if (question_mark == std::string_view::npos)
         return std::nullopt;
-    auto query = target.substr(question + 1);
+    auto query = target.substr(question_mark + 1);
     while (!query.empty()) {
         auto const item = query.substr(0, query.find('&'));
         query.remove_prefix(std::min(query.size(), item.size() + 1));
@@ -76,55 +76,56 @@
     std::string_view const target = exchange->head.target;
     auto const path = http::PathOf(target);
     if (!path.starts_with(prefix))
-        return answer(*exchange, not_found, "see /records/KIND\n");
+        return respond(*exchange, not_found, "not found; use /records/KIND\n");
     std::string const kind(path.substr(prefix.size()));
     auto const since = query_number(target, "since");
     if (!since) {
         auto const list = store_.list_for_peer(kind, query_number(target, "stale").has_value());
-        return answer(*exchange, list.ok() ? ok : to_http_status(list.status()), list.ok() ? encode(*list) : "");
+        return respond(*exchange, list.ok() ? ok : to_http_status(list.status()), list.ok() ? encode(*list) : "");
     }
     auto const wait = std::chrono::milliseconds(query_number(target, "wait_ms").value_or(0));
-    auto const asked = BootNow();
-    auto const until = asked + std::clamp(wait, std::chrono::milliseconds(0), longest_wait);
-    Waiting question { exchange, kind, *since, asked, until, store_.confirmed(kind) };
-    if (try_answer(question, wait.count() <= 0))
+    auto const requested_at = BootNow();
+    auto const until = requested_at + std::clamp(wait, std::chrono::milliseconds(0), max_watch_wait);
+    PendingWatch request { exchange, kind, *since, requested_at, until, store_.confirmed(kind) };
+    if (try_respond(request, wait.count() <= 0))
         return;
-    if (waiting_.empty())
-        sweep();
-    waiting_.push_back(std::move(question));
+    if (pending_watches_.empty())
+        check_pending_watches();
+    pending_watches_.push_back(std::move(request));
 }
 
-bool RelayServer::try_answer(Waiting const& question, bool time_is_up)
+bool RelayServer::try_respond(PendingWatch const& request, bool timed_out)
 {
-    auto changes = store_.changes_for_peer(question.kind, question.since);
-    auto const confirmed = store_.confirmed(question.kind) > question.confirmed;
-    if (changes.ok() && changes->events.events.empty() && !confirmed && !time_is_up)
+    auto changes = store_.changes_for_peer(request.kind, request.since);
+    auto const confirmed = store_.confirmed(request.kind) > request.confirmed;
+    if (changes.ok() && changes->events.events.empty() && !confirmed && !timed_out)
         return false;
     if (changes.ok())
-        changes->from.held = std::chrono::duration_cast<std::chrono::milliseconds>(BootNow() - question.asked);
-    answer(
-        *question.exchange, changes.ok() ? ok : to_http_status(changes.status()), changes.ok() ? encode(*changes) : "");
+        changes->from.hold_time =
+            std::chrono::duration_cast<std::chrono::milliseconds>(BootNow() - request.requested_at);
+    respond(
+        *request.exchange, changes.ok() ? ok : to_http_status(changes.status()), changes.ok() ? encode(*changes) : "");
     return true;
 }
 
 void RelayServer::on_record_update(std::string const& kind)
 {
-    std::erase_if(
-        waiting_, [&](Waiting const& question) { return question.kind == kind && try_answer(question, false); });
+    std::erase_if(pending_watches_,
+        [&](PendingWatch const& request) { return request.kind == kind && try_respond(request, false); });
 }
 
-void RelayServer::sweep()
+void RelayServer::check_pending_watches()
 {
-    timer_.expires_after(sweep_interval);
+    timer_.expires_after(pending_watch_check_interval);
     timer_.async_wait([this](boost::system::error_code error) {
         if (error)
             return;
         auto const now = BootNow();
-        std::erase_if(waiting_, [&](Waiting const& question) {
-            return question.exchange->client_left() || try_answer(question, now >= question.until);
+        std::erase_if(pending_watches_, [&](PendingWatch const& request) {
+            return request.exchange->client_left() || try_respond(request, now >= request.until);
         });
-        if (!waiting_.empty())
-            sweep();
+        if (!pending_watches_.empty())
+            check_pending_watches();
     });
 }
 
--- a/src/replica/relayed_store.cc
+++ b/src/replica/relayed_store.cc
@@ -19,20 +19,21 @@
 constexpr int gone = 410;
 constexpr int too_early = 425;
 constexpr int unavailable = 503;
-constexpr std::chrono::milliseconds peer_connect { 250 };
-// A list is waited for as long as it comes: given up, its bytes are spent for nothing, and the next peer sends them
-// anew over links that are as full. A thousand engines are 300 KB, which a relay on a narrow link sends to several.
-constexpr std::chrono::milliseconds peer_list_stall { 900 };
+constexpr std::chrono::milliseconds peer_connect_timeout { 250 };
+// A list may take as long as data keeps arriving. Giving up wastes the bytes that were received, and the next peer
+// would send them again over links that are just as busy. The records of a thousand engines take 300 KB, which a relay
+// on a narrow link sends to several followers.
+constexpr std::chrono::milliseconds peer_list_stall_timeout { 900 };
 constexpr std::chrono::milliseconds peer_list_timeout { 6000 };
-constexpr std::chrono::milliseconds start_step { 50 };
-constexpr std::chrono::milliseconds shortest_wait { 1 };
-constexpr Duration probe_interval = 1s;
+constexpr std::chrono::milliseconds startup_check_interval { 50 };
+constexpr std::chrono::milliseconds min_watch_wait { 1 };
+constexpr Duration lag_retry_interval = 1s;
 
 absl::Status to_status(fetch::Reply const& reply)
 {
     if (reply.status == gone)
-        return absl::OutOfRangeError("the peer forgot its history");
-    return absl::UnavailableError(fmt::format("the peer answered {}", reply.status));
+        return absl::OutOfRangeError("the peer has evicted these changes from its history");
+    return absl::UnavailableError(fmt::format("the peer responded with HTTP status {}", reply.status));
 }
 
 }
@@ -52,7 +53,7 @@
 void RelayedStore::List(std::string const& kind, std::function<void(absl::StatusOr<ObjectList>)> done)
 {
     if (now() < started_ + options_.startup_peer_wait) {
-        auto const timer = std::make_shared<BootTimer>(loop_, start_step);
+        auto const timer = std::make_shared<BootTimer>(loop_, startup_check_interval);
         timer->async_wait([this, timer, kind, done](boost::system::error_code error) {
             if (!error)
                 List(kind, done);
@@ -62,12 +63,12 @@
     auto const upstream = selector_.choose(peers_, now());
     if (upstream.source == Upstream::Source::Store)
         return list_at_store(kind, done);
-    if (upstream.source == Upstream::Source::Nobody)
-        return list_anywhere(kind, done);
+    if (upstream.source == Upstream::Source::None)
+        return list_at_any_peer(kind, done);
     list_at_peer(kind, upstream.peer, false, [this, kind, done](auto const& list) {
         if (list.ok())
             return done(list);
-        // A node that failed is not chosen again for a while: this comes to an end.
+        // A node that failed is avoided for a while, so this recursion ends.
         List(kind, done);
     });
 }
@@ -84,29 +85,29 @@
 
 void RelayedStore::list_at_store(std::string const& kind, ListHandler const& done)
 {
-    note_upstream(kind, "", "list");
-    note_call(kind, "list", "list");
-    origin_.List(kind, [this, kind, done, asked = now()](absl::StatusOr<ObjectList> const& list) {
+    report_upstream_change(kind, "", "list");
+    report_store_call(kind, "list", "list");
+    origin_.List(kind, [this, kind, done, requested_at = now()](absl::StatusOr<ObjectList> const& list) {
         auto& state = kind_state(kind);
         if (!list.ok()) {
             record_store_failure(state);
-            return state.replica.known() ? done(list) : list_anywhere(kind, done);
+            return state.replica.has_snapshot() ? done(list) : list_at_any_peer(kind, done);
         }
         selector_.record_store_success(now());
         state.reads_store = true;
         state.hops = 0;
         state.replica.replace(*list);
-        // Its pages may have come one after the other.
-        confirm(kind, asked);
-        take_list(kind, *list, done);
+        // The pages of the list may have been read one after the other, so the list is complete only as of the request.
+        confirm(kind, requested_at);
+        deliver_list(kind, *list, done);
     });
 }
 
-// A node that knows nothing yet is better served by a peer's knowledge than by none.
-void RelayedStore::list_anywhere(std::string const& kind, ListHandler const& done)
+// For a node without a replica, stale data from a peer is better than none.
+void RelayedStore::list_at_any_peer(std::string const& kind, ListHandler const& done)
 {
-    if (kind_state(kind).replica.known() || peers_.empty()) {
-        boost::asio::post(loop_, [done] { done(absl::UnavailableError("no node hears the store")); });
+    if (kind_state(kind).replica.has_snapshot() || peers_.empty()) {
+        boost::asio::post(loop_, [done] { done(absl::UnavailableError("no node is connected to the store")); });
         return;
     }
     auto const& peer = peers_[static_cast<std::size_t>(now().time_since_epoch().count()) % peers_.size()];
@@ -117,36 +118,36 @@
     std::string const& kind, serving::PeerNode const& peer, bool allow_stale, ListHandler const& done)
 {
     auto const target = fmt::format("/records/{}{}", kind, allow_stale ? "?stale=1" : "");
-    PeerRequest const question { peer.node, now() };
-    ask(peer, target, [this, kind, done, question](absl::StatusOr<fetch::Reply> const& reply) {
-        auto const& node = question.node;
+    PeerRequest const request { peer.node, now() };
+    send_peer_request(peer, target, [this, kind, done, request](absl::StatusOr<fetch::Reply> const& reply) {
+        auto const& node = request.node;
         if (reply.ok() && reply->status == too_early)
             selector_.record_starting(node, now());
         if (reply.ok() && reply->status == unavailable)
-            selector_.note_disconnected(node, now());
+            selector_.record_disconnected(node, now());
         if (reply.ok() && (reply->status == too_early || reply->status == unavailable))
             return done(to_status(*reply));
-        absl::StatusOr<RelayedList> passed = reply.ok() ? to_status(*reply) : reply.status();
+        absl::StatusOr<RelayedList> relayed = reply.ok() ? to_status(*reply) : reply.status();
         if (reply.ok() && reply->status == ok)
-            passed = decode_list(reply->body);
+            relayed = decode_list(reply->body);
         auto& state = kind_state(kind);
-        if (passed.ok() && passed->list.at < state.replica.at())
-            passed = absl::UnavailableError("the peer knows less than this node");
-        if (!passed.ok()) {
+        if (relayed.ok() && relayed->list.at < state.replica.at())
+            relayed = absl::UnavailableError("the peer's list is older than this node's replica");
+        if (!relayed.ok()) {
             selector_.avoid(node, now());
-            return done(passed.status());
+            return done(relayed.status());
         }
-        note_upstream(kind, node, "list");
+        report_upstream_change(kind, node, "list");
         state.reads_store = false;
         state.follows = node;
-        state.replica.replace(passed->list);
-        state.hops = passed->from.hops + 1;
-        confirm(kind, valid_as_of(question, passed->from));
-        take_list(kind, passed->list, done);
+        state.replica.replace(relayed->list);
+        state.hops = relayed->from.hops + 1;
+        confirm(kind, valid_as_of(request, relayed->from));
+        deliver_list(kind, relayed->list, done);
     });
 }
 
-void RelayedStore::take_list(std::string const& kind, ObjectList const& list, ListHandler const& done)
+void RelayedStore::deliver_list(std::string const& kind, ObjectList const& list, ListHandler const& done)
 {
     done(list);
     if (on_record_update)
@@ -158,7 +159,7 @@
 {
     auto& state = kind_state(kind);
     state.watching = true;
-    ++state.turn;
+    ++state.watch_id;
     state.revision = revision;
     state.watch_done = std::move(done);
     watch_upstream(kind, "reader");
@@ -170,8 +171,8 @@
     auto const upstream = selector_.choose(peers_, now());
     if (upstream.source == Upstream::Source::Peer)
         return watch_at_peer(kind, upstream.peer);
-    if (upstream.source == Upstream::Source::Nobody)
-        return finish_watch(kind, state.turn, absl::UnavailableError("no node hears the store"), Time {});
+    if (upstream.source == Upstream::Source::None)
+        return finish_watch(kind, state.watch_id, absl::UnavailableError("no node is connected to the store"), Time {});
     watch_at_store(kind, cause);
 }
 
@@ -179,42 +180,43 @@
 {
     auto& state = kind_state(kind);
     fetcher_.cancel(state.fetch);
-    note_upstream(kind, "", cause);
+    report_upstream_change(kind, "", cause);
     state.reads_store = true;
     if (now() < state.next_store_watch)
         return watch_at_store_after(kind, state.next_store_watch - now(), cause);
-    ask_store(kind, state.freshness->time_to_next_confirmation(now()), cause);
+    send_store_watch(kind, state.freshness->time_to_next_confirmation(now()), cause);
 }
 
-void RelayedStore::ask_store(std::string const& kind, std::chrono::milliseconds wait, std::string const& cause)
+void RelayedStore::send_store_watch(std::string const& kind, std::chrono::milliseconds wait, std::string const& cause)
 {
     auto const& state = kind_state(kind);
-    note_call(kind, "watch", cause);
+    report_store_call(kind, "watch", cause);
     origin_.Watch(kind, state.revision, wait,
-        [this, kind, asked = now(), turn = state.turn](absl::StatusOr<ObjectEvents> const& events) {
-            auto& answered = kind_state(kind);
-            if (answered.turn != turn || !answered.watching)
+        [this, kind, requested_at = now(), watch_id = state.watch_id](absl::StatusOr<ObjectEvents> const& events) {
+            auto& current = kind_state(kind);
+            if (current.watch_id != watch_id || !current.watching)
                 return;
             if (events.ok()) {
                 selector_.record_store_success(now());
-                answered.hops = 0;
+                current.hops = 0;
                 if (!events->events.empty())
-                    answered.next_store_watch = asked + options_.min_store_watch_interval;
+                    current.next_store_watch = requested_at + options_.min_store_watch_interval;
             } else if (!absl::IsOutOfRange(events.status())) {
-                record_store_failure(answered);
+                record_store_failure(current);
             }
-            finish_watch(kind, turn, events, now());
+            finish_watch(kind, watch_id, events, now());
         });
 }
 
-void RelayedStore::watch_at_store_after(std::string const& kind, Duration pause, std::string const& cause)
+void RelayedStore::watch_at_store_after(std::string const& kind, Duration delay, std::string const& cause)
 {
-    auto const timer = std::make_shared<BootTimer>(loop_, pause);
-    timer->async_wait([this, timer, kind, cause, turn = kind_state(kind).turn](boost::system::error_code error) {
-        auto const& state = kind_state(kind);
-        if (!error && state.watching && state.turn == turn && state.reads_store)
-            watch_at_store(kind, cause);
-    });
+    auto const timer = std::make_shared<BootTimer>(loop_, delay);
+    timer->async_wait(
+        [this, timer, kind, cause, watch_id = kind_state(kind).watch_id](boost::system::error_code error) {
+            auto const& state = kind_state(kind);
+            if (!error && state.watching && state.watch_id == watch_id && state.reads_store)
+                watch_at_store(kind, cause);
+        });
 }
 
 void RelayedStore::watch_at_peer(std::string const& kind, serving::PeerNode const& peer)
@@ -225,43 +227,45 @@
     state.follows = peer.node;
     auto const target =
         fmt::format("/records/{}?since={}&wait_ms={}", kind, state.revision, options_.follower_watch_timeout.count());
-    PeerRequest const question { peer.node, now() };
-    state.fetch =
-        ask(peer, target, [this, kind, turn = state.turn, question](absl::StatusOr<fetch::Reply> const& reply) {
-            on_peer_changes(kind, turn, question, reply);
+    PeerRequest const request { peer.node, now() };
+    state.fetch = send_peer_request(
+        peer, target, [this, kind, watch_id = state.watch_id, request](absl::StatusOr<fetch::Reply> const& reply) {
+            on_peer_changes(kind, watch_id, request, reply);
         });
 }
 
-void RelayedStore::on_peer_changes(
-    std::string const& kind, std::uint64_t turn, PeerRequest const& question, absl::StatusOr<fetch::Reply> const& reply)
+void RelayedStore::on_peer_changes(std::string const& kind, std::uint64_t watch_id, PeerRequest const& request,
+    absl::StatusOr<fetch::Reply> const& reply)
 {
     auto& state = kind_state(kind);
-    auto const& node = question.node;
-    if (!state.watching || state.turn != turn || state.reads_store || state.follows != node)
+    auto const& node = request.node;
+    if (!state.watching || state.watch_id != watch_id || state.reads_store || state.follows != node)
         return;
     if (reply.ok() && reply->status == gone)
-        return finish_watch(kind, turn, to_status(*reply), Time {});
-    absl::StatusOr<RelayedEvents> passed = reply.ok() ? to_status(*reply) : reply.status();
+        return finish_watch(kind, watch_id, to_status(*reply), Time {});
+    absl::StatusOr<RelayedEvents> relayed = reply.ok() ? to_status(*reply) : reply.status();
     if (reply.ok() && reply->status == ok)
-        passed = decode_events(reply->body);
-    if (passed.ok() && passed->events.at >= state.revision && passed->from.hops <= options_.max_hops) {
-        note_upstream(kind, node, "follows");
-        state.hops = passed->from.hops + 1;
-        return finish_watch(kind, turn, passed->events, valid_as_of(question, passed->from));
+        relayed = decode_events(reply->body);
+    if (relayed.ok() && relayed->events.at >= state.revision && relayed->from.hops <= options_.max_hops) {
+        report_upstream_change(kind, node, "follows");
+        state.hops = relayed->from.hops + 1;
+        return finish_watch(kind, watch_id, relayed->events, valid_as_of(request, relayed->from));
     }
     if (reply.ok() && reply->status == unavailable) {
-        selector_.note_disconnected(node, now());
-        return watch_upstream(kind, "the upstream does not hear the store");
+        selector_.record_disconnected(node, now());
+        return watch_upstream(kind, "the upstream is disconnected from the store");
     }
     selector_.avoid(node, now());
-    watch_upstream(kind, passed.ok() ? "the upstream knows less" : "the upstream does not answer");
+    watch_upstream(kind,
+        relayed.ok() ? "the upstream's replica is older or too many hops from the store"
+                     : "the upstream does not respond");
 }
 
 void RelayedStore::finish_watch(
-    std::string const& kind, std::uint64_t turn, absl::StatusOr<ObjectEvents> const& events, Time valid_as_of)
+    std::string const& kind, std::uint64_t watch_id, absl::StatusOr<ObjectEvents> const& events, Time valid_as_of)
 {
     auto& state = kind_state(kind);
-    if (!state.watching || state.turn != turn)
+    if (!state.watching || state.watch_id != watch_id)
         return;
     state.watching = false;
     if (events.ok()) {
@@ -277,14 +281,14 @@
 void RelayedStore::Write(
     std::string const& kind, StoredObject const& object, std::function<void(absl::StatusOr<StoredObject>)> done)
 {
-    note_call(kind, "write", "write");
+    report_store_call(kind, "write", "write");
     origin_.Write(kind, object, std::move(done));
 }
 
 void RelayedStore::Read(
     std::string const& kind, std::string const& name, std::function<void(absl::StatusOr<StoredObject>)> done)
 {
-    note_call(kind, "read", "read");
+    report_store_call(kind, "read", "read");
     origin_.Read(kind, name, std::move(done));
 }
 
@@ -298,7 +302,7 @@
     }
 }
 
-// A change that some peer knows and that has not come here: the watch may hang on a dead connection.
+// A peer has a change that has not arrived here: the watch may hang on a dead connection.
 void RelayedStore::check_lag(std::string const& kind, Kind& state, std::int64_t last_change)
 {
     if (last_change <= state.replica.at()) {
@@ -309,46 +313,48 @@
         state.behind_since = now();
     if (now() - state.behind_since < options_.upstream.lag_grace)
         return;
-    state.behind_since = now() + probe_interval;
+    state.behind_since = now() + lag_retry_interval;
     if (!state.reads_store) {
         selector_.avoid(state.follows, now());
-        return watch_upstream(kind, "the upstream lags");
+        return watch_upstream(kind, "the upstream lags behind the peers");
     }
-    // The first answer counts; the other is ignored.
-    ask_store(kind, shortest_wait, "the store's watch lags");
+    // The first response counts; the other one is ignored.
+    send_store_watch(kind, min_watch_wait, "the watch at the store lags behind the peers");
 }
 
-void RelayedStore::note_upstream(std::string const& kind, std::string const& node, std::string const& cause)
+void RelayedStore::report_upstream_change(std::string const& kind, std::string const& node, std::string const& cause)
 {
-    auto& told = kind_state(kind).upstream;
+    auto& reported = kind_state(kind).upstream;
     auto const& name = node.empty() ? std::string("store") : node;
-    if (told == name)
+    if (reported == name)
         return;
-    told = name;
+    reported = name;
     if (on_upstream_change)
         on_upstream_change(kind, node, cause);
 }
 
-void RelayedStore::note_call(std::string const& kind, std::string_view call, std::string_view cause)
+void RelayedStore::report_store_call(std::string const& kind, std::string_view call, std::string_view cause)
 {
     if (on_store_call)
         on_store_call(kind, call, cause);
 }
 
-fetch::FetchId RelayedStore::ask(serving::PeerNode const& peer, std::string const& target, fetch::Fetcher::Handler done)
+fetch::FetchId RelayedStore::send_peer_request(
+    serving::PeerNode const& peer, std::string const& target, fetch::Fetcher::Handler done)
 {
     http::RequestHead head;
     head.method = "GET";
     head.target = target;
     head.fields.Add("Host", peer.address);
     fetch::Options options;
-    // A watch holds its connection: kinds must not wait for each other.
+    // A watch occupies its connection: watches of different kinds must not queue behind each other.
     options.pool = peer.address + target.substr(0, target.find('?'));
-    options.connect_timeout = peer_connect;
-    auto const waits = target.find("wait_ms") != std::string::npos;
-    options.timeout = waits ? options_.follower_watch_timeout + options_.follower_watch_margin : peer_list_timeout;
-    if (!waits)
-        options.stall_timeout = peer_list_stall;
+    options.connect_timeout = peer_connect_timeout;
+    auto const has_unready_seed = target.find("wait_ms") != std::string::npos;
+    options.timeout =
+        has_unready_seed ? options_.follower_watch_timeout + options_.follower_watch_margin : peer_list_timeout;
+    if (!has_unready_seed)
+        options.stall_timeout = peer_list_stall_timeout;
     return fetcher_.fetch(peer.address, head, "", options,
         [this, peer, done = std::move(done)](absl::StatusOr<fetch::Reply> const& reply) {
             if (reply.ok() && on_peer_response)
--- a/src/replica/relayed_store_freshness.cc
+++ b/src/replica/relayed_store_freshness.cc
@@ -1,4 +1,4 @@
-// How old what a node knows is, what it does when that is too old, and what it passes on.
+// Freshness of a node's replicas: how their age is determined, what happens when one is stale, and what is relayed.
 #include <algorithm>
 
 #include "saltquay/replica/relayed_store.h"
@@ -6,34 +6,35 @@
 namespace saltquay::replica {
 namespace {
 
-constexpr std::chrono::milliseconds shortest_wait { 1 };
+constexpr std::chrono::milliseconds min_watch_wait { 1 };
 
 }
 
-// Time on the way counts as age: the answer was written `held` after the question came, which was after it was asked.
-Time RelayedStore::valid_as_of(PeerRequest const& question, Provenance const& from)
+// Network time counts as age: the response was written `hold_time` after the request arrived, which was after it was
+// sent.
+Time RelayedStore::valid_as_of(PeerRequest const& request, Provenance const& from)
 {
     if (!from.age)
         return Time {};
-    return std::min(question.asked + from.held, now()) - *from.age;
+    return std::min(request.requested_at + from.hold_time, now()) - *from.age;
 }
 
 void RelayedStore::confirm(std::string const& kind, Time valid_as_of)
 {
     auto& state = kind_state(kind);
     state.freshness->confirm(valid_as_of, state.hops);
-    state.asked_again = false;
+    state.retried_at_store = false;
     state.store_failed = false;
-    tell_freshness(kind);
+    report_freshness_change(kind);
 }
 
-void RelayedStore::tell_freshness(std::string const& kind)
+void RelayedStore::report_freshness_change(std::string const& kind)
 {
     auto& state = kind_state(kind);
     auto const fresh = state.freshness->is_fresh(now());
-    if (fresh == state.told_fresh)
+    if (fresh == state.reported_fresh)
         return;
-    state.told_fresh = fresh;
+    state.reported_fresh = fresh;
     if (on_freshness_change) {
         on_freshness_change(kind,
             { fresh, state.freshness->age(now()), state.replica.at(),
@@ -43,22 +44,22 @@
 
 void RelayedStore::on_stale(std::string const& kind)
 {
-    tell_freshness(kind);
+    report_freshness_change(kind);
     auto& state = kind_state(kind);
-    // A list or a pause after an error is under way: what follows it asks anew.
+    // A list or a retry delay is in progress; what follows it sends a new request.
     if (!state.watching)
         return;
     if (!state.reads_store) {
-        selector_.note_disconnected(state.follows, now());
-        return watch_upstream(kind, "what the upstream knows is stale");
+        selector_.record_disconnected(state.follows, now());
+        return watch_upstream(kind, "the upstream's replica is stale");
     }
-    // The connection of the watch may be dead: the same question on another one. The first answer counts.
-    if (!state.asked_again) {
-        state.asked_again = true;
-        return ask_store(kind, shortest_wait, "the store's watch is late");
+    // The connection of the watch may be dead: repeats the watch on another one. The first response counts.
+    if (!state.retried_at_store) {
+        state.retried_at_store = true;
+        return send_store_watch(kind, min_watch_wait, "the watch at the store is overdue");
     }
     record_store_failure(state);
-    watch_upstream(kind, "the store does not answer");
+    watch_upstream(kind, "the store does not respond");
 }
 
 void RelayedStore::record_store_failure(Kind& state)
@@ -73,7 +74,7 @@
     return entry == kinds_.end() ? Time {} : entry->second.freshness->confirmed();
 }
 
-bool RelayedStore::may_pass_on(Kind const& state) const
+bool RelayedStore::may_relay(Kind const& state) const
 {
     return !state.store_failed && state.hops <= options_.max_hops && state.freshness->is_fresh(now());
 }
@@ -98,25 +99,25 @@
 absl::StatusOr<RelayedList> RelayedStore::list_for_peer(std::string const& kind, bool allow_stale)
 {
     auto const entry = kinds_.find(kind);
-    if (entry == kinds_.end() || !entry->second.replica.known())
-        return absl::FailedPreconditionError("nothing known yet");
-    if (!allow_stale && !may_pass_on(entry->second))
-        return absl::UnavailableError("what this node knows is stale");
+    if (entry == kinds_.end() || !entry->second.replica.has_snapshot())
+        return absl::FailedPreconditionError("this node has no replica yet");
+    if (!allow_stale && !may_relay(entry->second))
+        return absl::UnavailableError("this node's replica is stale");
     return RelayedList { entry->second.replica.list(), provenance(entry->second) };
 }
 
 absl::StatusOr<RelayedEvents> RelayedStore::changes_for_peer(std::string const& kind, std::int64_t since)
 {
     auto const entry = kinds_.find(kind);
-    if (entry == kinds_.end() || !may_pass_on(entry->second))
-        return absl::UnavailableError("what this node knows is stale");
+    if (entry == kinds_.end() || !may_relay(entry->second))
+        return absl::UnavailableError("this node's replica is stale");
     auto const& replica = entry->second.replica;
-    // An asker that learnt of a change elsewhere waits like any other.
+    // A requester with a newer revision from elsewhere waits like any other.
     if (since > replica.at())
         return RelayedEvents { { {}, since }, provenance(entry->second) };
     auto changes = replica.changes_since(since);
     if (!changes)
-        return absl::OutOfRangeError("these changes are forgotten");
+        return absl::OutOfRangeError("these changes were evicted from the history");
     return RelayedEvents { *changes, provenance(entry->second) };
 }
 
--- a/src/replica/upstream_selector.cc
+++ b/src/replica/upstream_selector.cc
@@ -38,12 +38,12 @@
     return ranked;
 }
 
-std::vector<UpstreamSelector::Ranked> UpstreamSelector::readers_near(std::span<Ranked const> readers) const
+std::vector<UpstreamSelector::Ranked> UpstreamSelector::readers_in_region(std::span<Ranked const> readers) const
 {
-    std::vector<Ranked> near;
-    std::copy_if(readers.begin(), readers.end(), std::back_inserter(near),
+    std::vector<Ranked> in_region;
+    std::copy_if(readers.begin(), readers.end(), std::back_inserter(in_region),
         [&](Ranked const& reader) { return topology_.IsOwnRegion(reader.node->zone); });
-    return near;
+    return in_region;
 }
 
 bool UpstreamSelector::is_reader_by_rank(std::span<serving::PeerNode const> peers) const
@@ -56,7 +56,7 @@
     return std::any_of(nodes.begin(), nodes.end(), [&](Ranked const& ranked) { return ranked.node == &self_; });
 }
 
-serving::PeerNode const* UpstreamSelector::pick(std::span<Ranked const> nodes) const
+serving::PeerNode const* UpstreamSelector::pick_connected(std::span<Ranked const> nodes) const
 {
     serving::PeerNode const* best = nullptr;
     std::uint64_t best_rank = 0;
@@ -64,7 +64,7 @@
         auto const& name = ranked.node->node;
         if (avoided_until_.contains(name) || disconnected_until_.contains(name) || starting_until_.contains(name))
             continue;
-        // Followers spread over their upstreams, and stay with theirs while it is there.
+        // Followers spread over their upstreams, and stay with the same one while it is available.
         auto const rank = HashPair(HashText(self_.node), ranked.hash);
         if (best != nullptr && rank <= best_rank)
             continue;
@@ -76,9 +76,9 @@
 
 bool UpstreamSelector::may_ask_seed(std::string const& address, Time now) const
 {
-    auto const unheard = disconnected_until_.find(address);
-    if (unheard != disconnected_until_.end()
-        && unheard->second - parameters_.avoidance_period + parameters_.seed_retry_delay > now)
+    auto const disconnected = disconnected_until_.find(address);
+    if (disconnected != disconnected_until_.end()
+        && disconnected->second - parameters_.avoidance_period + parameters_.seed_retry_delay > now)
         return false;
     auto const starting = starting_until_.find(address);
     return starting == starting_until_.end()
@@ -88,63 +88,63 @@
 Upstream UpstreamSelector::choose_seed(Time now)
 {
     auto const is_seed = std::find(seeds_.begin(), seeds_.end(), self_.address) != seeds_.end();
-    auto waits = false;
+    auto has_unready_seed = false;
     for (auto const& address : seeds_) {
         if (avoided_until_.contains(address) || address == self_.address)
             continue;
         if (may_ask_seed(address, now))
             return { Upstream::Source::Peer, { address, address, self_.zone, 0, false } };
-        waits = true;
+        has_unready_seed = true;
     }
-    if (!waits || is_seed)
+    if (!has_unready_seed || is_seed)
         return {};
-    if (!seeds_unheard_since_)
-        seeds_unheard_since_ = now;
-    if (now - *seeds_unheard_since_ >= parameters_.seed_wait_limit)
+    if (!seeds_unready_since_)
+        seeds_unready_since_ = now;
+    if (now - *seeds_unready_since_ >= parameters_.seed_wait_limit)
         return {};
-    return { Upstream::Source::Nobody, {} };
+    return { Upstream::Source::None, {} };
 }
 
 Upstream UpstreamSelector::choose(std::span<serving::PeerNode const> peers, Time now)
 {
-    auto const is_over = [&](auto const& entry) { return entry.second <= now; };
-    std::erase_if(avoided_until_, is_over);
-    std::erase_if(disconnected_until_, is_over);
-    std::erase_if(starting_until_, is_over);
+    auto const has_expired = [&](auto const& entry) { return entry.second <= now; };
+    std::erase_if(avoided_until_, has_expired);
+    std::erase_if(disconnected_until_, has_expired);
+    std::erase_if(starting_until_, has_expired);
     if (peers.empty())
         return choose_seed(now);
-    auto const turned_away = avoided_until_.contains(self_.node);
-    if (turned_away) {
-        // When many lose the store at once, the first that is served again is known only after a moment.
-        auto const left = parameters_.avoidance_period - parameters_.disconnected_retry;
+    auto const store_failed = avoided_until_.contains(self_.node);
+    if (store_failed) {
+        // If many nodes lose the store at once, it takes a moment until the first one that is served again is known.
+        auto const left = parameters_.avoidance_period - parameters_.disconnected_retry_delay;
         std::erase_if(disconnected_until_, [&](auto const& entry) { return entry.second <= now + left; });
     }
-    auto const zone_relays = relays(peers, !turned_away);
+    auto const zone_relays = relays(peers, !store_failed);
     auto const is_relay = contains_self(zone_relays);
     if (!is_large(peers) && is_relay)
         return {};
-    auto const fleet_readers = is_large(peers) ? readers(peers, !turned_away) : std::vector<Ranked> {};
+    auto const fleet_readers = is_large(peers) ? readers(peers, !store_failed) : std::vector<Ranked> {};
     if (contains_self(fleet_readers))
         return {};
-    // Where nobody else hears the store, those whose place it is ask it again.
-    auto const asks_again = turned_away && is_reader_by_rank(peers);
-    auto const* peer = is_relay ? nullptr : pick(zone_relays);
-    if (peer == nullptr && !is_relay && !asks_again && waits_for(zone_relays, now))
-        return { Upstream::Source::Nobody, {} };
+    // If no other node is connected to the store, the nodes that the ranking assigns to it retry it.
+    auto const retries_store = store_failed && is_reader_by_rank(peers);
+    auto const* peer = is_relay ? nullptr : pick_connected(zone_relays);
+    if (peer == nullptr && !is_relay && !retries_store && should_wait_for(zone_relays, now))
+        return { Upstream::Source::None, {} };
     if (peer == nullptr)
-        peer = pick(readers_near(fleet_readers));
+        peer = pick_connected(readers_in_region(fleet_readers));
     if (peer == nullptr)
-        peer = pick(fleet_readers);
+        peer = pick_connected(fleet_readers);
     if (peer != nullptr)
         return { Upstream::Source::Peer, *peer };
-    auto const store_answers = store_answered_ && now - *store_answered_ < parameters_.avoidance_period;
-    auto const store_unheard = !disconnected_until_.empty() || !starting_until_.empty();
-    if (!store_unheard || is_relay || asks_again || store_answers || may_probe(peers.size() + 1, now))
+    auto const store_responds = last_store_success_ && now - *last_store_success_ < parameters_.avoidance_period;
+    auto const peers_disconnected = !disconnected_until_.empty() || !starting_until_.empty();
+    if (!peers_disconnected || is_relay || retries_store || store_responds || may_probe(peers.size() + 1, now))
         return {};
-    return { Upstream::Source::Nobody, {} };
+    return { Upstream::Source::None, {} };
 }
 
-bool UpstreamSelector::waits_for(std::span<Ranked const> relays, Time now)
+bool UpstreamSelector::should_wait_for(std::span<Ranked const> relays, Time now)
 {
     auto const is_starting = [&](Ranked const& relay) { return starting_until_.contains(relay.node->node); };
     if (std::none_of(relays.begin(), relays.end(), is_starting))
@@ -157,7 +157,7 @@
 bool UpstreamSelector::may_probe(std::size_t nodes, Time now)
 {
     auto const interval = parameters_.probe_interval_per_node * static_cast<int>(nodes);
-    // After a time when it was heard.
+    // First probe, or the first after a period of connectivity.
     if (!next_probe_ || *next_probe_ + interval < now) {
         auto const spread = std::min(interval, parameters_.initial_probe_spread);
         next_probe_ = now + spread * static_cast<int>(HashText(self_.node) % nodes) / static_cast<int>(nodes);
--- a/tests/replica/peer_list_test.cc
+++ b/tests/replica/peer_list_test.cc
@@ -1,4 +1,4 @@
-// Lists that take long because they are large and links are narrow, and peers that have just started.
+// Lists from peers: slow ones, which are large or cross narrow links, and lists of peers that have just started.
 #include <algorithm>
 #include <map>
 
@@ -16,13 +16,13 @@
 
 using boost::asio::ip::tcp;
 
-// A store that nobody should ask.
-class ForbiddenStore final : public gateway::ObjectStore {
+// A store that rejects lists and counts them.
+class FailingStore final : public gateway::ObjectStore {
 public:
     void List(std::string const&, std::function<void(absl::StatusOr<gateway::ObjectList>)> done) override
     {
         ++calls;
-        done(absl::UnavailableError("not to be asked"));
+        done(absl::UnavailableError("the store fails in this test"));
     }
     void Watch(std::string const&, std::int64_t, std::chrono::milliseconds,
         std::function<void(absl::StatusOr<gateway::ObjectEvents>)>) override
@@ -40,15 +40,15 @@
     int calls = 0;
 };
 
-// A peer that answers one question, in so many parts with a pause before each.
+// A peer that sends one response in `parts` parts, with a pause before each.
 class SlowPeer {
 public:
-    SlowPeer(boost::asio::io_context& loop, std::string answer, int parts, std::chrono::milliseconds pause)
+    SlowPeer(boost::asio::io_context& loop, std::string response, int parts, std::chrono::milliseconds pause)
         : acceptor_(loop, { boost::asio::ip::address_v4::loopback(), 0 })
         , socket_(loop)
         , timer_(loop)
-        , answer_(std::move(answer))
-        , part_((answer_.size() + static_cast<std::size_t>(parts) - 1) / static_cast<std::size_t>(parts))
+        , response_(std::move(response))
+        , part_((response_.size() + static_cast<std::size_t>(parts) - 1) / static_cast<std::size_t>(parts))
         , pause_(pause)
     {
         acceptor_.async_accept(socket_, [this](boost::system::error_code error) {
@@ -63,11 +63,11 @@
     {
         timer_.expires_after(pause_);
         timer_.async_wait([this](boost::system::error_code error) {
-            if (error || sent_ == answer_.size())
+            if (error || sent_ == response_.size())
                 return;
-            auto const part = std::min(part_, answer_.size() - sent_);
-            boost::system::error_code ignored; // The asker may have given up.
-            boost::asio::write(socket_, boost::asio::buffer(answer_.data() + sent_, part), ignored);
+            auto const part = std::min(part_, response_.size() - sent_);
+            boost::system::error_code ignored; // The requester may have timed out.
+            boost::asio::write(socket_, boost::asio::buffer(response_.data() + sent_, part), ignored);
             sent_ += part;
             send_next();
         });
@@ -76,24 +76,24 @@
     tcp::acceptor acceptor_;
     tcp::socket socket_;
     boost::asio::steady_timer timer_;
-    std::string answer_;
+    std::string response_;
     std::size_t part_;
     std::size_t sent_ = 0;
     std::chrono::milliseconds pause_;
 };
 
-std::string make_answer()
+std::string make_response()
 {
-    RelayedList passed;
-    passed.list.items = { { "e1", 7, "content" }, { "e2", 8, "content" } };
-    passed.list.at = 9;
-    auto const body = encode(passed);
+    RelayedList relayed;
+    relayed.list.items = { { "e1", 7, "content" }, { "e2", 8, "content" } };
+    relayed.list.at = 9;
+    auto const body = encode(relayed);
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Lists engines by way of a peer; returns how many came, or nothing within the limit.
-std::optional<std::size_t> list_by(
-    boost::asio::io_context& loop, SlowPeer& peer, ForbiddenStore& origin, Duration limit)
+// Lists engines through a peer; returns the number of engines, or nothing if the list did not arrive within the limit.
+std::optional<std::size_t> list_at_peer(
+    boost::asio::io_context& loop, SlowPeer& peer, FailingStore& origin, Duration limit)
 {
     RelayedStoreOptions options;
     options.self = { "follower", "", "a", 10, false };
@@ -111,60 +111,60 @@
     return items;
 }
 
-TEST(SlowListTest, AListIsWaitedForAsLongAsItComes)
+TEST(PeerListTest, ListMayTakeLongWhileDataArrives)
 {
     boost::asio::io_context loop;
-    ForbiddenStore origin;
-    SlowPeer peer(loop, make_answer(), 8, std::chrono::milliseconds(200));
-    EXPECT_EQ(list_by(loop, peer, origin, 4s), 2U);
+    FailingStore origin;
+    SlowPeer peer(loop, make_response(), 8, std::chrono::milliseconds(200));
+    EXPECT_EQ(list_at_peer(loop, peer, origin, 4s), 2U);
     EXPECT_EQ(origin.calls, 0);
 }
 
-TEST(SlowListTest, AListThatStallsIsGivenUp)
+TEST(PeerListTest, StalledListTimesOut)
 {
     boost::asio::io_context loop;
-    ForbiddenStore origin;
-    SlowPeer peer(loop, make_answer(), 2, std::chrono::milliseconds(1500));
-    EXPECT_FALSE(list_by(loop, peer, origin, 1400ms));
+    FailingStore origin;
+    SlowPeer peer(loop, make_response(), 2, std::chrono::milliseconds(1500));
+    EXPECT_FALSE(list_at_peer(loop, peer, origin, 1400ms));
     EXPECT_GT(origin.calls, 0);
 }
 
-TEST(SlowListTest, FollowersOfRelaysThatHaveJustStartedDoNotAllTurnToAReader)
+TEST(PeerListTest, FollowersOfStartingRelaysDoNotAllTurnToAReader)
 {
-    // After the loss of all nodes of a fleet: relays learn from the readers, and the others from the relays.
+    // After a restart of the whole fleet, relays learn from the readers, and the other nodes from the relays.
     std::vector<serving::PeerNode> fleet;
     fleet.reserve(60);
     for (int i = 0; i < 60; ++i)
         fleet.push_back({ "n" + std::to_string(i), "10.0.0.1:1", i % 2 == 0 ? "a" : "b", 20, false });
     Time const now { 10s };
-    std::map<std::string, int> asked;
+    std::map<std::string, int> request_counts;
     for (auto const& node : fleet) {
         auto peers = fleet;
         std::erase_if(peers, [&](serving::PeerNode const& peer) { return peer.node == node.node; });
         UpstreamSelector selector(node, {});
-        std::vector<std::string> starting;
+        std::vector<std::string> starting_nodes;
         auto upstream = selector.choose(peers, now);
-        // All that are asked know nothing yet.
+        // All nodes that are asked respond that they have no replica yet.
         while (upstream.source == Upstream::Source::Peer) {
-            starting.push_back(upstream.peer.node);
-            ++asked[starting.back()];
-            selector.record_starting(starting.back(), now);
+            starting_nodes.push_back(upstream.peer.node);
+            ++request_counts[starting_nodes.back()];
+            selector.record_starting(starting_nodes.back(), now);
             upstream = selector.choose(peers, now);
         }
-        if (upstream.source != Upstream::Source::Nobody)
+        if (upstream.source != Upstream::Source::None)
             continue;
-        // When its relays do not come to know anything, a reader is asked all the same.
-        for (auto const& relay : starting)
+        // If its relays still have no replica after the wait limit, the node turns to a reader.
+        for (auto const& relay : starting_nodes)
             selector.record_starting(relay, now + 2s);
         auto const reader = selector.choose(peers, now + 2100ms);
         EXPECT_EQ(reader.source, Upstream::Source::Peer) << node.node;
-        EXPECT_FALSE(std::count(starting.begin(), starting.end(), reader.peer.node)) << node.node;
+        EXPECT_FALSE(std::count(starting_nodes.begin(), starting_nodes.end(), reader.peer.node)) << node.node;
     }
-    for (auto const& [node, count] : asked)
+    for (auto const& [node, count] : request_counts)
         EXPECT_LE(count, 32) << node; // The followers of one zone, never of both.
 }
 
-TEST(SlowListTest, ANodeThatHasJustStartedIsAskedAgainSoon)
+TEST(PeerListTest, StartingNodeIsAskedAgainSoon)
 {
     std::vector<serving::PeerNode> const peers { { "relay", "10.0.0.1:1", "a", 1000, false } };
     UpstreamParameters parameters;
@@ -175,7 +175,7 @@
     selector.record_starting("relay", now);
     EXPECT_NE(selector.choose(peers, now + 100ms).source, Upstream::Source::Peer);
     EXPECT_EQ(selector.choose(peers, now + 250ms).source, Upstream::Source::Peer);
-    selector.note_disconnected("relay", now);
+    selector.record_disconnected("relay", now);
     EXPECT_NE(selector.choose(peers, now + 1s).source, Upstream::Source::Peer);
 }
 
--- a/tests/replica/record_replica_test.cc
+++ b/tests/replica/record_replica_test.cc
@@ -1,4 +1,4 @@
-// A copy of the store's objects, and how followers catch up from it.
+// The replica of the store's objects, and how followers catch up from it.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -21,7 +21,7 @@
     return contents;
 }
 
-TEST(RecordReplicaTest, AnAskerFromBeforeTheListOrFromTheFutureIsSentBack)
+TEST(RecordReplicaTest, ChangesBeforeTheListOrAfterTheReplicaAreNotReturned)
 {
     RecordReplica replica;
     EXPECT_FALSE(replica.changes_since(0));
@@ -33,7 +33,7 @@
     EXPECT_EQ(replica.changed_at(), 7);
 }
 
-TEST(RecordReplicaTest, TheHistoryIsBoundedInBytes)
+TEST(RecordReplicaTest, HistoryIsBoundedInBytes)
 {
     RecordReplica replica;
     replica.replace({ {}, 1 });
@@ -45,7 +45,7 @@
     EXPECT_EQ(replica.list().items.size(), 1U);
 }
 
-RC_GTEST_PROP(RecordReplicaProperty, FollowersEndWithTheReadersObjects, ())
+RC_GTEST_PROP(RecordReplicaProperty, FollowersConvergeToTheReadersObjects, ())
 {
     RecordReplica reader;
     reader.replace({ {}, 0 });
@@ -72,14 +72,14 @@
     RC_ASSERT(follower.changed_at() == reader.changed_at());
 }
 
-TEST(RecordCodecTest, RecordsComeBackAsTheyWere)
+TEST(RecordCodecTest, RecordsRoundTrip)
 {
     auto const list = decode_list(encode(RelayedList { { { { "a", 3, "{\"x\":1}" }, { "b", 9, "" } }, 12 },
         Provenance { 1, std::chrono::milliseconds(250), std::chrono::milliseconds(30) } }));
     ASSERT_TRUE(list.ok());
     EXPECT_EQ(list->from.hops, 1);
     EXPECT_EQ(list->from.age, std::chrono::milliseconds(250));
-    EXPECT_EQ(list->from.held, std::chrono::milliseconds(30));
+    EXPECT_EQ(list->from.hold_time, std::chrono::milliseconds(30));
     EXPECT_EQ(list->list.at, 12);
     ASSERT_EQ(list->list.items.size(), 2U);
     EXPECT_EQ(list->list.items[0].content, "{\"x\":1}");
@@ -93,7 +93,7 @@
     EXPECT_EQ(changes->events.events[1].object.content, "r5");
 }
 
-RC_GTEST_PROP(RecordCodecProperty, AnyBytesAreDecodedOrRefused, (std::string const& bytes))
+RC_GTEST_PROP(RecordCodecProperty, ArbitraryBytesAreDecodedOrRejected, (std::string const& bytes))
 {
     static_cast<void>(decode_list(bytes));
     auto whole = encode(RelayedEvents { { { event("a", 4) }, 6 }, Provenance {} });
--- a/tests/replica/relayed_store_test.cc
+++ b/tests/replica/relayed_store_test.cc
@@ -1,6 +1,5 @@
-// Two nodes on loopback: one reads the store, one follows it. The store is a
-// table in the test; faults are its silence, the reader's end, and news that
-// only a third node has.
+// Two nodes on loopback: one reads the store, the other follows it. The store is a table in the test; the faults are an
+// unresponsive store, a reader that terminates, and changes that only a third node has.
 #include <gtest/gtest.h>
 
 #include <boost/asio/post.hpp>
@@ -16,7 +15,7 @@
 using gateway::ObjectList;
 using gateway::StoredObject;
 
-// A store that answers at once, or not at all.
+// A store that responds at once, or not at all.
 class TableStore final : public gateway::ObjectStore {
 public:
     explicit TableStore(boost::asio::io_context& loop)
@@ -29,7 +28,7 @@
         ++calls;
         if (!up)
             return boost::asio::post(loop_, [done] { done(absl::UnavailableError("down")); });
-        boost::asio::post(loop_, [done, answer = list()] { done(answer); });
+        boost::asio::post(loop_, [done, response = list()] { done(response); });
     }
     void Watch(std::string const&, std::int64_t revision, std::chrono::milliseconds wait,
         std::function<void(absl::StatusOr<ObjectEvents>)> done) override
@@ -45,7 +44,7 @@
     void put(std::string const& name) { objects[name] = { name, ++revision, "r" + std::to_string(revision) }; }
 
     bool up = true;
-    bool silent = false; // Watches are never answered.
+    bool unresponsive = false; // Watches never get a response.
     int calls = 0;
     std::int64_t revision = 100;
     std::map<std::string, StoredObject> objects;
@@ -55,11 +54,11 @@
 
     ObjectList list() const
     {
-        ObjectList answer;
+        ObjectList response;
         for (auto const& [name, object] : objects)
-            answer.items.push_back(object);
-        answer.at = revision;
-        return answer;
+            response.items.push_back(object);
+        response.at = revision;
+        return response;
     }
     void poll(std::shared_ptr<boost::asio::steady_timer> const& timer, std::int64_t since,
         std::chrono::steady_clock::time_point until, EventsHandler const& done)
@@ -77,7 +76,7 @@
                     changes.events.push_back({ false, object });
             }
             auto const ready = !changes.events.empty() || std::chrono::steady_clock::now() >= until;
-            if (ready && !silent)
+            if (ready && !unresponsive)
                 return done(changes);
             poll(timer, since, until, done);
         });
@@ -86,7 +85,7 @@
     boost::asio::io_context& loop_;
 };
 
-// A node as far as the store's objects go.
+// The replication components of one node.
 struct Node {
     Node(boost::asio::io_context& loop, std::string const& name, int link_mbps, std::vector<std::string> seeds = {})
         : origin(loop)
@@ -106,7 +105,7 @@
         };
         handlers.on_event = [this](
                                 gateway::ObjectEvent const& event) { seen[event.object.name] = event.object.content; };
-        handlers.on_connectivity_changed = [this](bool in_contact, std::string const&) { contact = in_contact; };
+        handlers.on_connectivity_changed = [this](bool is_connected, std::string const&) { connected = is_connected; };
         watcher = std::make_unique<gateway::CollectionWatcher>(
             loop, store, "engines", gateway::WatcherTimings {}, 1, std::move(handlers));
     }
@@ -118,8 +117,9 @@
         options.upstream.readers_per_zone = 1;
         return options;
     }
-    // Hears a peer, which is at that address and has the wider link or not.
-    void hear(std::string const& name, std::string const& address, int link_mbps, std::int64_t changed_at, Time now)
+    // Receives a report of a peer with the given address and link capacity.
+    void receive_report(
+        std::string const& name, std::string const& address, int link_mbps, std::int64_t changed_at, Time now)
     {
         serving::PeerReport report;
         report.node = name;
@@ -138,13 +138,13 @@
     serving::PeerTable table;
     std::unique_ptr<gateway::CollectionWatcher> watcher;
     std::map<std::string, std::string> seen;
-    bool contact = false;
+    bool connected = false;
     std::uint64_t sequence = 0;
 };
 
 class RelayedStoreTest : public ::testing::Test {
 protected:
-    // An address of loopback on which nobody listens.
+    // A loopback address on which nobody listens.
     std::string free_address()
     {
         boost::asio::ip::tcp::acceptor probe(loop_, { boost::asio::ip::address_v4::loopback(), 0 });
@@ -155,14 +155,14 @@
     {
         auto const address = free_address();
         reader_->origin.put("e1");
-        reader_->hear("follower", "", 10, 0, Time { 1s });
-        follower_->hear("reader", address, 1000, 0, Time { 1s });
+        reader_->receive_report("follower", "", 10, 0, Time { 1s });
+        follower_->receive_report("reader", address, 1000, 0, Time { 1s });
         EXPECT_TRUE(reader_->relay->listen(address).ok());
     }
     void start_both()
     {
         reader_->watcher->Start();
-        run_until([&] { return reader_->contact; }, 2s);
+        run_until([&] { return reader_->connected; }, 2s);
         follower_->watcher->Start();
     }
     bool run_until(std::function<bool()> const& holds, Duration limit)
@@ -182,7 +182,7 @@
     std::unique_ptr<Node> follower_ = std::make_unique<Node>(loop_, "follower", 10);
 };
 
-TEST_F(RelayedStoreTest, AFollowerLearnsEverythingWithoutACallToTheStore)
+TEST_F(RelayedStoreTest, FollowerReceivesAllChangesWithoutCallingTheStore)
 {
     start_both();
     EXPECT_TRUE(follower_sees("e1", 1s));
@@ -190,10 +190,10 @@
     reader_->origin.put("e2");
     EXPECT_TRUE(follower_sees("e2", 3s));
     EXPECT_EQ(follower_->origin.calls, 0);
-    EXPECT_TRUE(follower_->contact);
+    EXPECT_TRUE(follower_->connected);
 }
 
-TEST_F(RelayedStoreTest, WhenTheReaderIsGoneTheStoreIsAskedItself)
+TEST_F(RelayedStoreTest, FollowerAsksTheStoreWhenItsReaderIsGone)
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
@@ -204,47 +204,48 @@
     EXPECT_GT(follower_->origin.calls, 0);
 }
 
-TEST_F(RelayedStoreTest, AReaderThatIsFrozenIsNotWaitedForLong)
+TEST_F(RelayedStoreTest, FollowerLeavesAFrozenReaderSoon)
 {
-    // Connections come up, for its kernel accepts them, and nothing is ever answered.
+    // Connections are established, because the kernel accepts them, but never get a response.
     boost::asio::ip::tcp::acceptor frozen(loop_, { boost::asio::ip::address_v4::loopback(), 0 });
-    follower_->hear("reader", "127.0.0.1:" + std::to_string(frozen.local_endpoint().port()), 1000, 0, Time { 1s });
+    follower_->receive_report(
+        "reader", "127.0.0.1:" + std::to_string(frozen.local_endpoint().port()), 1000, 0, Time { 1s });
     follower_->origin.put("e5");
     auto const started = std::chrono::steady_clock::now();
     follower_->watcher->Start();
     EXPECT_TRUE(follower_sees("e5", 4s));
-    EXPECT_GT(std::chrono::steady_clock::now() - started, 500ms); // It was asked first.
+    EXPECT_GT(std::chrono::steady_clock::now() - started, 500ms); // The frozen reader was asked first.
 }
 
-TEST_F(RelayedStoreTest, NewsThatOnlyAThirdNodeHasLeadsToTheStore)
+TEST_F(RelayedStoreTest, ChangeReportedByAThirdNodeMakesAFollowerAskTheStore)
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
-    reader_->origin.silent = true; // Its watch hangs on a dead connection.
+    reader_->origin.unresponsive = true; // Its watch hangs on a dead connection.
     follower_->origin.copy(reader_->origin);
     follower_->origin.put("e4");
     auto const heard = run_until(
         [&] {
-            follower_->hear("third", "", 0, follower_->origin.revision, Time { 2s });
+            follower_->receive_report("third", "", 0, follower_->origin.revision, Time { 2s });
             return follower_->seen.contains("e4");
         },
-        3s); // The reader itself is seen not to hear the store after 4.6 s only.
+        3s); // The reader itself is detected as disconnected only after 4.6 s.
     EXPECT_TRUE(heard);
 }
 
-TEST_F(RelayedStoreTest, AReaderThatDoesNotHearTheStoreDoesNotAnswerForIt)
+TEST_F(RelayedStoreTest, ReaderDisconnectedFromTheStoreDoesNotRelay)
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
-    reader_->origin.silent = true;
+    reader_->origin.unresponsive = true;
     EXPECT_TRUE(run_until([&] { return follower_->origin.calls > 0; }, 5200ms));
     EXPECT_EQ(reader_->store.changes_for_peer("engines", 0).status().code(), absl::StatusCode::kUnavailable);
     EXPECT_TRUE(reader_->store.list_for_peer("engines", true).ok());
 }
 
-TEST_F(RelayedStoreTest, AReaderThatTheStoreTurnsAwayIsLeftAtOnce)
+TEST_F(RelayedStoreTest, FollowerLeavesAReaderThatTheStoreRejectsAtOnce)
 {
-    // The store may refuse single nodes while it serves the others.
+    // The store may reject single nodes while it serves the others.
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
     follower_->origin.copy(reader_->origin);
@@ -253,7 +254,7 @@
     EXPECT_TRUE(follower_sees("e2", 1s));
 }
 
-TEST_F(RelayedStoreTest, ANodeThatTheStoreTurnsAwayFollowsOneThatItServes)
+TEST_F(RelayedStoreTest, NodeThatTheStoreRejectsFollowsOneThatItServes)
 {
     start_both();
     Node served(loop_, "served", 500); // It reads the store as well.
@@ -261,62 +262,64 @@
     auto const address = free_address();
     ASSERT_TRUE(served.relay->listen(address).ok());
     served.watcher->Start();
-    ASSERT_TRUE(run_until([&] { return served.contact; }, 1s));
-    reader_->hear("served", address, 500, 0, Time { 2s });
+    ASSERT_TRUE(run_until([&] { return served.connected; }, 1s));
+    reader_->receive_report("served", address, 500, 0, Time { 2s });
     reader_->origin.up = false;
     served.origin.put("e2");
-    EXPECT_TRUE(run_until([&] { return reader_->seen.contains("e2") && reader_->contact; }, 1500ms));
+    EXPECT_TRUE(run_until([&] { return reader_->seen.contains("e2") && reader_->connected; }, 1500ms));
 }
 
-TEST_F(RelayedStoreTest, ANodeThatComesBackListsAtOnce)
+TEST_F(RelayedStoreTest, RestartedNodeListsAtOnce)
 {
-    // fcl-norte trouble-2: after a loss of power 21 requests met nodes that waited 0.4 s for peers before they listed.
+    // Seen in fcl-norte trouble-2: after a power loss 21 requests reached nodes that waited 0.4 s for peers before they
+    // listed.
     Node alone(loop_, "alone", 10);
     alone.origin.put("e1");
     alone.watcher->Start();
-    EXPECT_TRUE(run_until([&] { return alone.contact; }, 300ms));
+    EXPECT_TRUE(run_until([&] { return alone.connected; }, 300ms));
 }
 
-TEST_F(RelayedStoreTest, ANodeThatComesBackAsksASeedBeforeTheStore)
+TEST_F(RelayedStoreTest, RestartedNodeAsksASeedBeforeTheStore)
 {
-    // rcr-roster-large trouble-2: 310 nodes were started again, and each called the store four times before it knew
-    // a peer.
+    // Seen in rcr-roster-large trouble-2: 310 nodes restarted, and each called the store four times before it knew a
+    // peer.
     auto const address = free_address();
     ASSERT_TRUE(reader_->relay->listen(address).ok());
     reader_->watcher->Start();
-    ASSERT_TRUE(run_until([&] { return reader_->contact; }, 2s));
+    ASSERT_TRUE(run_until([&] { return reader_->connected; }, 2s));
     Node back(loop_, "back", 10, { free_address(), address }); // Nobody listens at the first.
     back.watcher->Start();
-    EXPECT_TRUE(run_until([&] { return back.contact && back.seen.contains("e1"); }, 300ms));
+    EXPECT_TRUE(run_until([&] { return back.connected && back.seen.contains("e1"); }, 300ms));
     EXPECT_EQ(back.origin.calls, 0);
 }
 
-TEST_F(RelayedStoreTest, ANodeWhoseSeedsAreAllDownListsAtTheStoreAtOnce)
+TEST_F(RelayedStoreTest, NodeWithAllSeedsDownListsAtTheStoreAtOnce)
 {
     Node alone(loop_, "alone", 10, { free_address(), free_address() });
     alone.origin.put("e1");
     alone.watcher->Start();
-    EXPECT_TRUE(run_until([&] { return alone.contact; }, 300ms));
+    EXPECT_TRUE(run_until([&] { return alone.connected; }, 300ms));
 }
 
-TEST_F(RelayedStoreTest, ANodeThatStartsWhileTheStoreIsDownTakesWhatAPeerHas)
+TEST_F(RelayedStoreTest, NodeThatStartsWhileTheStoreIsDownListsAtAPeer)
 {
     reader_->watcher->Start();
-    ASSERT_TRUE(run_until([&] { return reader_->contact; }, 2s));
+    ASSERT_TRUE(run_until([&] { return reader_->connected; }, 2s));
     reader_->origin.up = false;
     follower_->origin.up = false;
-    // The reader itself would refuse by now, for what it knows may be old.
+    // By then the reader refuses ordinary lists, because its replica is stale.
     ASSERT_TRUE(run_until([&] { return !reader_->store.list_for_peer("engines", false).ok(); }, 8s));
     follower_->watcher->Start();
     EXPECT_TRUE(follower_sees("e1", 2s));
 }
 
-TEST_F(RelayedStoreTest, WhileChangesKeepComingCallsToTheStoreKeepADistance)
+TEST_F(RelayedStoreTest, ContinuousChangesDoNotRaiseTheRateOfStoreCalls)
 {
     reader_->watcher->Start();
-    ASSERT_TRUE(run_until([&] { return reader_->contact; }, 2s));
+    ASSERT_TRUE(run_until([&] { return reader_->connected; }, 2s));
     auto const before = reader_->origin.calls;
-    // 165 engines write their entries all the time; each change alone would wake each reader ten times a second.
+    // 165 engines update their records continuously; sent one by one, the changes would wake each reader ten times a
+    // second.
     auto const end = std::chrono::steady_clock::now() + 2s;
     int changes = 0;
     while (std::chrono::steady_clock::now() < end) {
@@ -324,25 +327,25 @@
         loop_.run_for(std::chrono::milliseconds(10));
     }
     EXPECT_LE(reader_->origin.calls - before, 6);
-    // A lone change after a quiet time comes at once.
+    // A single change after a quiet period arrives at once.
     run_until([] { return false; }, 700ms);
     reader_->origin.put("alone");
     EXPECT_TRUE(run_until([&] { return reader_->seen.contains("alone"); }, 200ms));
 }
 
-// Through how many nodes it went: 0 from the one that reads the store.
+// A chain of three nodes, in which the hop count of relayed records is 0 at the node that reads the store.
 class RelayChainTest : public RelayedStoreTest {
 protected:
     RelayChainTest()
     {
         auto const address = free_address();
         EXPECT_TRUE(follower_->relay->listen(address).ok());
-        last_->hear("follower", address, 1000, 0, Time { 1s });
+        last_->receive_report("follower", address, 1000, 0, Time { 1s });
     }
     std::unique_ptr<Node> last_ = std::make_unique<Node>(loop_, "last", 10);
 };
 
-TEST_F(RelayChainTest, AFollowerPassesOnWhatItHearsThroughAReader)
+TEST_F(RelayChainTest, FollowerRelaysWhatItReceivesFromAReader)
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
@@ -355,34 +358,34 @@
     EXPECT_EQ(follower_->store.list_for_peer("engines", false)->from.hops, 1);
 }
 
-TEST_F(RelayChainTest, AFollowerWhoseReaderIsGoneDoesNotPassOnWhatItKnew)
+TEST_F(RelayChainTest, FollowerWithoutItsReaderStopsRelayingOnceStale)
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
     reader_->relay.reset();
-    follower_->origin.silent = true;
+    follower_->origin.unresponsive = true;
     EXPECT_TRUE(run_until([&] { return !follower_->store.list_for_peer("engines", false).ok(); }, 6s));
 }
 
-TEST_F(RelayChainTest, NodesThatFollowEachOtherAreFoundOut)
+TEST_F(RelayChainTest, CycleOfFollowersIsDetected)
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
-    // Each takes the other for the reader, as when neither has heard of a third one.
+    // Each node considers the other one the reader, as when neither has heard of a third node.
     auto const address = free_address();
     ASSERT_TRUE(last_->relay->listen(address).ok());
-    follower_->hear("last", address, 2000, 0, Time { 2s });
-    follower_->hear("reader", address, 1, 0, Time { 2s });
+    follower_->receive_report("last", address, 2000, 0, Time { 2s });
+    follower_->receive_report("reader", address, 1, 0, Time { 2s });
     last_->watcher->Start();
-    // Answers that went through too many nodes end the ring: somebody asks the store.
+    // Responses with too many hops break the cycle: one of the nodes asks the store.
     EXPECT_TRUE(run_until([&] { return follower_->origin.calls + last_->origin.calls > 0; }, 4s));
 }
 
-TEST_F(RelayChainTest, ChangesThatWentThroughTooManyNodesAreNotTaken)
+TEST_F(RelayChainTest, ChangesWithTooManyHopsAreRejected)
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
-    // From the reader, which is one node away from the store, but not from the follower behind it.
+    // Accepts only what a reader of the store relays, not what comes through the follower behind it.
     auto options = Node::make_options("near", 10, {});
     options.max_hops = 0;
     TableStore origin(loop_);
@@ -391,7 +394,7 @@
     std::optional<bool> taken;
     near.Watch("engines", 0, std::chrono::milliseconds(50), [&](auto const& events) { taken = events.ok(); });
     EXPECT_TRUE(run_until([&] { return taken.has_value(); }, 2s));
-    // It went on to the store, or says that nobody near enough hears it.
+    // It asked the store instead, or reported that no node near enough is connected to it.
     EXPECT_EQ(*taken, origin.calls > 0);
 }
 
--- a/tests/replica/replica_fleet.cc
+++ b/tests/replica/replica_fleet.cc
@@ -11,7 +11,7 @@
 
 constexpr Duration report_interval = 400ms;
 constexpr std::chrono::milliseconds poll_interval { 5 };
-// As long as the platform's client of the store waits for an answer.
+// The timeout of the platform's store client.
 constexpr Duration call_timeout = 1500ms;
 
 std::string free_address(boost::asio::io_context& loop)
@@ -31,7 +31,7 @@
 
 }
 
-std::int64_t StoreTable::known_since(Time now, Duration age) const
+std::int64_t StoreTable::required_revision(Time now, Duration age) const
 {
     std::int64_t known = 0;
     for (auto const& [at, revision] : acknowledged) {
@@ -44,7 +44,7 @@
 void NodeStore::blackhole_connections()
 {
     ++epoch_;
-    resting_is_dead_ = under_way_ == 0;
+    idle_connection_is_dead_ = in_flight_ == 0;
 }
 
 gateway::StoredObject NodeStore::object() const { return { "main", table_.revision, "content" }; }
@@ -52,14 +52,14 @@
 std::shared_ptr<NodeStore::Call> NodeStore::begin_call(std::int64_t since, Duration wait)
 {
     ++calls;
-    ++under_way_;
+    ++in_flight_;
     auto call = std::make_shared<Call>();
     call->since = since;
     call->until = BootNow() + wait;
-    call->given_up = call->until + call_timeout;
-    // It takes the connection that rests, dead or not.
-    call->epoch = resting_is_dead_ ? epoch_ - 1 : epoch_;
-    resting_is_dead_ = false;
+    call->timeout_at = call->until + call_timeout;
+    // Reuses the idle connection, whether blackholed or not.
+    call->epoch = idle_connection_is_dead_ ? epoch_ - 1 : epoch_;
+    idle_connection_is_dead_ = false;
     return call;
 }
 
@@ -92,7 +92,7 @@
 
 void NodeStore::finish(Call const& call, absl::Status const& status)
 {
-    --under_way_;
+    --in_flight_;
     call.done(status);
 }
 
@@ -103,10 +103,10 @@
         if (error)
             return;
         auto const now = BootNow();
-        if (now >= call->given_up)
-            return finish(*call, absl::DeadlineExceededError("no answer in time"));
-        if (fault_ == Fault::Refuses)
-            return finish(*call, absl::UnavailableError("the store answered 429"));
+        if (now >= call->timeout_at)
+            return finish(*call, absl::DeadlineExceededError("no response in time"));
+        if (fault_ == Fault::Rejects)
+            return finish(*call, absl::UnavailableError("the store responded with HTTP status 429"));
         auto const reached = fault_ == Fault::None && call->epoch == epoch_;
         if (reached && (table_.revision > call->since || now >= call->until))
             return finish(*call, absl::OkStatus());
@@ -116,8 +116,8 @@
 
 struct BlackholeProxy::Pair : std::enable_shared_from_this<BlackholeProxy::Pair> {
     explicit Pair(boost::asio::io_context& loop)
-        : near(loop)
-        , far(loop)
+        : client_side(loop)
+        , server_side(loop)
     {
     }
     void pump(boost::asio::ip::tcp::socket& from, boost::asio::ip::tcp::socket& to, std::array<char, 16384>& bytes)
@@ -126,7 +126,7 @@
             [self = shared_from_this(), &from, &to, &bytes](boost::system::error_code error, std::size_t count) {
                 if (error)
                     return self->close();
-                if (self->silent)
+                if (self->blackholed)
                     return self->pump(from, to, bytes);
                 boost::asio::async_write(to, boost::asio::buffer(bytes.data(), count),
                     [self, &from, &to, &bytes](boost::system::error_code write_error, std::size_t) {
@@ -139,17 +139,17 @@
     void close()
     {
         boost::system::error_code ignored;
-        far.close(ignored);
-        // A silent connection does not even tell its end.
-        if (!silent)
-            near.close(ignored);
+        server_side.close(ignored);
+        // A blackholed connection does not even signal that it was closed.
+        if (!blackholed)
+            client_side.close(ignored);
     }
 
-    boost::asio::ip::tcp::socket near;
-    boost::asio::ip::tcp::socket far;
-    std::array<char, 16384> to_far {};
-    std::array<char, 16384> to_near {};
-    bool silent = false;
+    boost::asio::ip::tcp::socket client_side;
+    boost::asio::ip::tcp::socket server_side;
+    std::array<char, 16384> to_server {};
+    std::array<char, 16384> to_client {};
+    bool blackholed = false;
 };
 
 BlackholeProxy::BlackholeProxy(boost::asio::io_context& loop, std::string const& target)
@@ -168,7 +168,7 @@
 {
     for (auto const& weak : pairs_) {
         if (auto const pair = weak.lock())
-            pair->silent = true;
+            pair->blackholed = true;
     }
     pairs_.clear();
 }
@@ -176,15 +176,15 @@
 void BlackholeProxy::accept()
 {
     auto const pair = std::make_shared<Pair>(loop_);
-    acceptor_.async_accept(pair->near, [this, pair](boost::system::error_code error) {
+    acceptor_.async_accept(pair->client_side, [this, pair](boost::system::error_code error) {
         if (error)
             return;
         pairs_.push_back(pair);
-        pair->far.async_connect(target_, [pair](boost::system::error_code connect_error) {
+        pair->server_side.async_connect(target_, [pair](boost::system::error_code connect_error) {
             if (connect_error)
                 return pair->close();
-            pair->pump(pair->near, pair->far, pair->to_far);
-            pair->pump(pair->far, pair->near, pair->to_near);
+            pair->pump(pair->client_side, pair->server_side, pair->to_server);
+            pair->pump(pair->server_side, pair->client_side, pair->to_client);
         });
         accept();
     });
@@ -245,7 +245,7 @@
 {
     exchange_reports();
     for (auto const& node : nodes_) {
-        node->out_of_touch_until = BootNow() + contact;
+        node->exempt_until = BootNow() + reconnect_period;
         node->watcher->Start();
     }
 }
@@ -253,7 +253,7 @@
 void ReplicaFleet::set_fault(std::size_t node, NodeStore::Fault fault)
 {
     nodes_[node]->origin.set_fault(fault);
-    nodes_[node]->out_of_touch_until = BootNow() + contact;
+    nodes_[node]->exempt_until = BootNow() + reconnect_period;
 }
 
 void ReplicaFleet::blackhole_connections()
@@ -261,7 +261,7 @@
     for (auto const& node : nodes_) {
         node->origin.blackhole_connections();
         node->link->blackhole_connections();
-        node->out_of_touch_until = BootNow() + contact;
+        node->exempt_until = BootNow() + reconnect_period;
     }
 }
 
@@ -272,7 +272,7 @@
         exchange_reports();
     for (auto const& node : nodes_) {
         if (node->origin.fault() != NodeStore::Fault::None)
-            node->out_of_touch_until = now + contact;
+            node->exempt_until = now + reconnect_period;
         node->store.update_peers(node->table.Heard(), node->table.LastChanges());
     }
     check(now);
@@ -294,7 +294,7 @@
 void ReplicaFleet::check(Time now)
 {
     for (auto const& node : nodes_) {
-        if (now < node->out_of_touch_until || node->seen >= table_.known_since(now, apply_limit))
+        if (now < node->exempt_until || node->seen >= table_.required_revision(now, apply_limit))
             continue;
         for (auto const& [at, revision] : table_.acknowledged) {
             auto const delay = now - at - apply_limit;
--- a/tests/replica/replica_fleet.h
+++ b/tests/replica/replica_fleet.h
@@ -1,5 +1,5 @@
-// Nodes that learn one object from a store, itself or through each other, with faults of each way: real relays on
-// loopback, a store in the test, links that can fall silent.
+// A fleet of nodes that replicate one object of a store, directly or through each other, with faults on each path: real
+// relay servers on loopback, a store simulated in the test, and connections that can be blackholed.
 #pragma once
 
 #include <memory>
@@ -18,23 +18,23 @@
 
 namespace saltquay::replica {
 
-// The object that all nodes want to know, and when each of its revisions was acknowledged.
+// The revision of the object that all nodes replicate, and when each revision was acknowledged.
 struct StoreTable {
     std::int64_t revision = 100;
     std::vector<std::pair<Time, std::int64_t>> acknowledged;
 
     void put(Time now) { acknowledged.emplace_back(now, ++revision); }
-    // The newest revision acknowledged `age` before `now`, or earlier.
-    std::int64_t known_since(Time now, Duration age) const;
+    // Returns the newest revision that was acknowledged at least `age` before `now`.
+    std::int64_t required_revision(Time now, Duration age) const;
 };
 
-// The store as one node reaches it.
+// The store as seen by one node.
 class NodeStore final : public gateway::ObjectStore {
 public:
     enum class Fault {
         None,
-        Silent,  // Calls are not answered, neither those under way nor new ones.
-        Refuses, // Calls are turned away at once, those under way too.
+        Unresponsive, // Calls get no response, neither those in flight nor new ones.
+        Rejects,      // Calls are rejected at once, including those in flight.
     };
     NodeStore(boost::asio::io_context& loop, StoreTable const& table)
         : loop_(loop)
@@ -44,7 +44,8 @@
 
     void set_fault(Fault fault) { fault_ = fault; }
     Fault fault() const { return fault_; }
-    // Connections are dead from now on: what is under way on them is never answered, nor is the next call if one rests.
+    // Blackholes the current connections: calls in flight on them never get a response, and neither does the next call
+    // if an idle connection is reused for it.
     void blackhole_connections();
 
     void List(std::string const&, std::function<void(absl::StatusOr<gateway::ObjectList>)> done) override;
@@ -64,26 +65,26 @@
 private:
     struct Call {
         std::int64_t since = 0;
-        Time until {};    // A watch without changes is answered then.
-        Time given_up {}; // By the client of the store.
+        Time until {};      // A watch without changes is answered then.
+        Time timeout_at {}; // When the store's client times out.
         std::uint64_t epoch = 0;
         std::function<void(absl::Status const&)> done;
     };
     std::shared_ptr<Call> begin_call(std::int64_t since, Duration wait);
     void finish(Call const&, absl::Status const&);
-    // Answers, or looks again a little later.
+    // Responds, or checks again a little later.
     void poll(std::shared_ptr<Call> const&);
     gateway::StoredObject object() const;
 
     boost::asio::io_context& loop_;
     StoreTable const& table_;
     Fault fault_ = Fault::None;
-    std::uint64_t epoch_ = 0; // Of the connections that work.
-    int under_way_ = 0;
-    bool resting_is_dead_ = false;
+    std::uint64_t epoch_ = 0; // Of the connections that are not blackholed.
+    int in_flight_ = 0;
+    bool idle_connection_is_dead_ = false;
 };
 
-// Passes connections on to an address; those that are up can be silenced.
+// Forwards connections to an address; established ones can be blackholed.
 class BlackholeProxy {
 public:
     BlackholeProxy(boost::asio::io_context&, std::string const& target);
@@ -101,7 +102,7 @@
     std::vector<std::weak_ptr<Pair>> pairs_;
 };
 
-// One node: its store, its relay, and what it has seen.
+// One node: its store, its relay server, and the newest revision that it received.
 struct ReplicaNode {
     ReplicaNode(boost::asio::io_context&, StoreTable const&, std::string const& name, std::string const& zone,
         int link_mbps, UpstreamParameters const&);
@@ -118,12 +119,14 @@
     std::unique_ptr<gateway::CollectionWatcher> watcher;
     std::int64_t seen = 0;
     std::uint64_t sequence = 0;
-    Time out_of_touch_until {}; // Its own way to the store is, or was lately, in a fault.
+    // Until then the freshness limit does not apply to the node, because its path to the store has, or recently had, a
+    // fault.
+    Time exempt_until {};
 };
 
 class ReplicaFleet {
 public:
-    // `zones`: the zone of each node; earlier nodes have wider links.
+    // `zones`: the zone of each node; earlier nodes have higher link capacities.
     ReplicaFleet(boost::asio::io_context&, std::vector<std::string> const& zones, UpstreamParameters const&);
 
     ReplicaNode& node(std::size_t i) { return *nodes_[i]; }
@@ -131,17 +134,20 @@
     StoreTable& table() { return table_; }
 
     void start();
-    // Faults: one node's way to the store, all kept connections to the store and between nodes.
+    // Faults: of one node's path to the store, or of all keep-alive connections to the store and between nodes.
     void set_fault(std::size_t node, NodeStore::Fault);
     void blackhole_connections();
-    // Every 50 ms of the test's time: reports between the nodes, marks of being in touch, and the check of the rule.
+    // To be called every 50 ms: exchanges reports between the nodes, updates which nodes are exempt, and checks the
+    // freshness limit.
     void step();
-    // How much later than allowed some node in touch had a change, at worst.
+    // The maximum delay beyond the limit with which a connected node received a change.
     Duration worst_delay() const { return worst_delay_; }
     std::string worst_node() const { return worst_node_; }
 
-    static constexpr Duration contact = 3s;     // Without a fault, until a node is bound by the rule.
-    static constexpr Duration apply_limit = 2s; // From a change's acknowledgement until all in touch have it.
+    // Time without a fault after which the limit applies to a node again.
+    static constexpr Duration reconnect_period = 3s;
+    // From the acknowledgement of a change until all connected nodes must have it.
+    static constexpr Duration apply_limit = 2s;
 
 private:
     void exchange_reports();
--- a/tests/replica/upstream_selector_test.cc
+++ b/tests/replica/upstream_selector_test.cc
@@ -1,4 +1,4 @@
-// Who reads the store, and whom the others follow.
+// Which nodes read the store, and which node each of the others follows.
 #include <algorithm>
 #include <set>
 
@@ -26,7 +26,7 @@
     return nodes;
 }
 
-TEST(UpstreamSelectorTest, AFewNodesOfAZoneReadTheStoreAndTheOthersFollowThem)
+TEST(UpstreamSelectorTest, FewNodesOfAZoneReadTheStoreAndTheOthersFollowThem)
 {
     auto const nodes = make_zone("a", 12);
     Time const now { 1s };
@@ -43,7 +43,7 @@
     EXPECT_EQ(followed, readers);
 }
 
-TEST(UpstreamSelectorTest, OtherZonesAndStoppingNodesAreNotFollowed)
+TEST(UpstreamSelectorTest, NodesOfOtherZonesAndStoppingNodesAreNotFollowed)
 {
     PeerNode const self { "a0", "", "a", 0, false };
     auto peers = make_zone("b", 9, 1000);
@@ -55,7 +55,7 @@
     EXPECT_EQ(UpstreamSelector(self, {}).choose(peers, Time { 1s }).source, Upstream::Source::Store);
 }
 
-TEST(UpstreamSelectorTest, NodesWithTheWidestLinksRead)
+TEST(UpstreamSelectorTest, NodesWithTheHighestLinkCapacityRead)
 {
     auto peers = make_zone("a", 14, 10);
     peers[7].link_mbps = 200;
@@ -68,7 +68,7 @@
     }
 }
 
-TEST(UpstreamSelectorTest, AReaderThatFailedIsAvoidedAndThenTriedAgain)
+TEST(UpstreamSelectorTest, FailedReaderIsAvoidedAndThenRetried)
 {
     PeerNode const self { "self", "", "a", 1, false };
     auto const peers = make_zone("a", 9, 10);
@@ -85,7 +85,7 @@
     EXPECT_EQ(selector.choose(peers, now + 4s).source, Upstream::Source::Peer);
 }
 
-// Five zones of sixty nodes, three with wide links in each.
+// Five zones of sixty nodes, three with high link capacity in each.
 std::vector<PeerNode> make_fleet()
 {
     std::vector<PeerNode> fleet;
@@ -126,7 +126,7 @@
         EXPECT_LE(nodes.size(), 6U) << zone; // Four relays, which follow the two readers.
 }
 
-TEST(UpstreamSelectorTest, WhenReadersAreLostTheNextOnesTakeTheirPlace)
+TEST(UpstreamSelectorTest, NextNodesReplaceFailedReaders)
 {
     auto const fleet = make_fleet();
     auto const lost = find_readers(fleet, {});
@@ -136,7 +136,7 @@
         EXPECT_FALSE(lost.contains(reader));
 }
 
-TEST(UpstreamSelectorTest, AStoreThatNobodyHearsIsAskedAFewTimesASecondByAllTogether)
+TEST(UpstreamSelectorTest, UnreachableStoreIsProbedAFewTimesASecondByTheWholeFleet)
 {
     auto const fleet = make_fleet();
     std::vector<UpstreamSelector> selectors;
@@ -150,48 +150,49 @@
         for (std::size_t i = 0; i < selectors.size(); ++i) {
             auto upstream = selectors[i].choose(peers[i], now);
             while (upstream.source == Upstream::Source::Peer) {
-                selectors[i].note_disconnected(upstream.peer.node, now);
+                selectors[i].record_disconnected(upstream.peer.node, now);
                 upstream = selectors[i].choose(peers[i], now);
             }
             calls += upstream.source == Upstream::Source::Store ? 1 : 0;
         }
         return calls;
     };
-    // Each finds out for itself: the store may turn away only those that it followed.
+    // Each node finds out for itself, because the store may be rejecting only the nodes that it followed.
     auto const first = count_calls(Time { 1s }) + count_calls(Time { 1410ms });
     EXPECT_GE(first, static_cast<int>(fleet.size()));
     int calls = 0;
-    for (Time now { 1800ms }; now < Time { 5800ms }; now += 800ms) // The watcher's longest pause between tries.
+    for (Time now { 1800ms }; now < Time { 5800ms }; now += 800ms) // The watcher's maximum retry delay.
         calls += count_calls(now);
-    // The relays try each time, four of sixty in a zone; of the others 25 a second. Each alone: 1,500.
+    // The relays retry each time, four of sixty in a zone; the other nodes together make 25 calls a second. If each
+    // retried by itself: 1,500 calls.
     EXPECT_LT(calls, 250);
     EXPECT_GT(calls, 20);
 }
 
-TEST(UpstreamSelectorTest, SeedsThatHaveJustStartedAreWaitedForAMoment)
+TEST(UpstreamSelectorTest, StartingSeedsAreWaitedForBriefly)
 {
-    // fcl-norte-large trouble-1: after a loss of power 295 nodes and their seeds came back at once, and all called the
-    // store.
+    // Seen in fcl-norte-large trouble-1: after a power loss 295 nodes and their seeds started at once, and all called
+    // the store.
     std::vector<std::string> const seeds { "1.1.1.1:1", "2.2.2.2:1" };
     UpstreamSelector node({ "n", "3.3.3.3:1", "a", 1, false }, {}, seeds);
     Time now { 10s };
     for (auto const& seed : seeds) {
         EXPECT_EQ(node.choose({}, now).peer.address, seed);
-        node.note_disconnected(seed, now);
+        node.record_disconnected(seed, now);
     }
-    EXPECT_EQ(node.choose({}, now).source, Upstream::Source::Nobody);
+    EXPECT_EQ(node.choose({}, now).source, Upstream::Source::None);
     now += 70ms;
-    EXPECT_EQ(node.choose({}, now).peer.address, seeds[0]); // It may know more by now.
-    node.note_disconnected(seeds[0], now);
-    node.note_disconnected(seeds[1], now);
-    EXPECT_EQ(node.choose({}, now).source, Upstream::Source::Nobody);
+    EXPECT_EQ(node.choose({}, now).peer.address, seeds[0]); // It may have a replica by now.
+    node.record_disconnected(seeds[0], now);
+    node.record_disconnected(seeds[1], now);
+    EXPECT_EQ(node.choose({}, now).source, Upstream::Source::None);
     now += 400ms;
-    node.note_disconnected(seeds[0], now);
-    node.note_disconnected(seeds[1], now);
+    node.record_disconnected(seeds[0], now);
+    node.record_disconnected(seeds[1], now);
     EXPECT_EQ(node.choose({}, now).source, Upstream::Source::Store);
-    // A seed itself waits for nobody, and seeds that do not answer are not waited for.
+    // A seed itself waits for no other node, and unresponsive seeds are not waited for.
     UpstreamSelector seed({ "s", seeds[0], "a", 1, false }, {}, seeds);
-    seed.note_disconnected(seeds[1], now);
+    seed.record_disconnected(seeds[1], now);
     EXPECT_EQ(seed.choose({}, now).source, Upstream::Source::Store);
     UpstreamSelector alone({ "n", "3.3.3.3:1", "a", 1, false }, {}, seeds);
     for (auto const& address : seeds)
@@ -199,9 +200,9 @@
     EXPECT_EQ(alone.choose({}, now).source, Upstream::Source::Store);
 }
 
-// Guards against relays that wait for each other: all had just started, the store had turned each away, and when it
-// answered again nobody asked it for up to two seconds.
-TEST(UpstreamSelectorTest, RelaysThatStartWhileTheStoreRefusesAskItAgainAtEachTry)
+// Guards against relays that wait for each other: all had just started, the store had rejected each of them, and when
+// it served again no node called it for up to two seconds.
+TEST(UpstreamSelectorTest, RelaysThatStartWhileTheStoreRejectsThemRetryItEachTime)
 {
     auto const fleet = make_zone("a", 4);
     std::vector<UpstreamSelector> selectors;
@@ -224,32 +225,33 @@
         }
         return calls;
     };
-    for (Time now { 10s }; now < Time { 14s }; now += 600ms) // The watcher's longest pause between tries.
-        EXPECT_EQ(try_all(now), 2) << "at " << now.time_since_epoch() / 1ms << " ms, both relays and no other node";
+    for (Time now { 10s }; now < Time { 14s }; now += 600ms) // The watcher's maximum retry delay.
+        EXPECT_EQ(try_all(now), 2) << "at " << now.time_since_epoch() / 1ms
+                                   << " ms: expected both relays and no other node";
 }
 
-TEST(UpstreamSelectorTest, ANodeThatTheStoreTurnsAwayAsksItsPeersAgainSoon)
+TEST(UpstreamSelectorTest, NodeThatTheStoreRejectsAsksItsPeersAgainSoon)
 {
     auto const peers = make_zone("a", 30, 10);
     UpstreamSelector node({ "self", "", "a", 1, false }, {});
     Time const now { 10s };
     for (auto const& peer : peers)
-        node.note_disconnected(peer.node, now);
+        node.record_disconnected(peer.node, now);
     node.record_store_failure(now);
     EXPECT_NE(node.choose(peers, now + 500ms).source, Upstream::Source::Peer);
     EXPECT_EQ(node.choose(peers, now + 700ms).source, Upstream::Source::Peer);
 }
 
-TEST(UpstreamSelectorTest, ANodeThatTheStoreAnswersIsNotHeldBack)
+TEST(UpstreamSelectorTest, NodeThatTheStoreServesIsNotHeldBack)
 {
-    // rutas-gt scale-2, seed 418471024996: both readers of a zone were cut off; the third node listed at the store and
-    // was held back from watching it, so that it served under a configuration that was five seconds old.
+    // Seen in rutas-gt scale-2, seed 418471024996: both readers of a zone were cut off; the third node listed at the
+    // store but was held back from watching it, and so served with a configuration that was five seconds old.
     auto const peers = make_zone("a", 7, 10);
     UpstreamSelector node({ "self", "", "a", 1, false }, {});
     Time const now { 10s };
     auto upstream = node.choose(peers, now);
     while (upstream.source == Upstream::Source::Peer) {
-        node.note_disconnected(upstream.peer.node, now);
+        node.record_disconnected(upstream.peer.node, now);
         upstream = node.choose(peers, now);
     }
     node.record_store_success(now);
@@ -260,7 +262,7 @@
 }
 class RegionUpstreamTest : public ::testing::Test {
 protected:
-    // Six zones of twelve nodes, two in each region.
+    // Six zones of twelve nodes; each region has two zones.
     RegionUpstreamTest()
     {
         for (auto const& [zone, region] : regions_) {
@@ -276,7 +278,7 @@
             selector.avoid(name, Time { 1s });
         return selector.choose(without(fleet_, node.node), Time { 1s });
     }
-    // The region of each node that reads the store.
+    // Maps each node that reads the store to its region.
     std::map<std::string, std::string> find_region_readers(std::set<std::string> const& lost) const
     {
         std::map<std::string, std::string> readers;
@@ -286,8 +288,8 @@
         }
         return readers;
     }
-    // How many nodes follow one of another region.
-    int count_across(std::set<std::string> const& lost) const
+    // Counts the nodes that follow a node of another region.
+    int count_followers_across_regions(std::set<std::string> const& lost) const
     {
         auto count = 0;
         for (auto const& node : fleet_) {
@@ -304,7 +306,7 @@
     std::vector<PeerNode> fleet_;
 };
 
-TEST_F(RegionUpstreamTest, EachRegionHasOneReaderAndNobodyFollowsAcross)
+TEST_F(RegionUpstreamTest, EachRegionHasOneReaderAndNoNodeFollowsAcrossRegions)
 {
     auto const readers = find_region_readers({});
     std::set<std::string> regions;
@@ -312,35 +314,35 @@
         regions.insert(region);
     EXPECT_EQ(readers.size(), 3U);
     EXPECT_EQ(regions.size(), 3U);
-    EXPECT_EQ(count_across({}), 0);
+    EXPECT_EQ(count_followers_across_regions({}), 0);
 }
 
-TEST_F(RegionUpstreamTest, WhenARegionsReaderIsLostTheNextOfTheRegionTakesItsPlace)
+TEST_F(RegionUpstreamTest, NextNodeOfTheRegionReplacesItsFailedReader)
 {
     auto const before = find_region_readers({});
     for (auto const& lost : before) {
         auto const after = find_region_readers({ lost.first });
         auto const is_of_region = [&](auto const& reader) { return reader.second == lost.second; };
         EXPECT_EQ(std::count_if(after.begin(), after.end(), is_of_region), 1) << lost.second;
-        EXPECT_EQ(count_across({ lost.first }), 0);
+        EXPECT_EQ(count_followers_across_regions({ lost.first }), 0);
     }
 }
 
-TEST_F(RegionUpstreamTest, WhoseReaderDoesNotHearTheStoreFollowsAnotherRegionsReader)
+TEST_F(RegionUpstreamTest, RelaysWithADisconnectedReaderFollowAnotherRegionsReader)
 {
     std::string reader;
     for (auto const& [node, region] : find_region_readers({})) {
         if (region == "south")
             reader = node;
     }
-    // A relay of the region, which would follow its reader.
+    // The relays of the region, which would follow its reader.
     for (auto const& node : fleet_) {
         UpstreamSelector selector(node, {}, {}, regions_);
         auto const peers = without(fleet_, node.node);
         auto const first = selector.choose(peers, Time { 1s });
         if (first.source != Upstream::Source::Peer || first.peer.node != reader)
             continue;
-        selector.note_disconnected(reader, Time { 1s });
+        selector.record_disconnected(reader, Time { 1s });
         auto const second = selector.choose(peers, Time { 1s });
         ASSERT_EQ(second.source, Upstream::Source::Peer) << node.node;
         EXPECT_NE(second.peer.node, reader);
