--- a/include/saltquay/duties/capacity_controller.h
+++ b/include/saltquay/duties/capacity_controller.h
@@ -1,10 +1,10 @@
-// Orders engines of the services that may be scaled; see capacity_planner.h for how many.
+// Orders engines for the services that can be scaled; see capacity_planner.h for how many.
 //
-// Protocol. An order names the number of engines of one kind in one zone; the platform keeps the number, so that an
-// order may be repeated and comes to the same. New engines are ordered before those that they replace are sent away:
-// ordinary engines go only as far as enough others serve. Where no spot engines are to be had, they are asked for again
-// after a pause, and ordinary ones fill in if what is left would not do. Whoever holds the lease next starts from the
-// engines that it sees.
+// Protocol. A scaling order sets the number of engines of one kind in one zone. The platform stores the number, so that
+// repeating an order has no further effect. Replacement engines are ordered before the engines that they replace are
+// terminated: on-demand engines are terminated only as far as enough other engines serve. If no spot engines are
+// available, they are ordered again after a delay, and on-demand engines fill in if the remaining engines would not
+// suffice. The next lease holder starts from the engines that it observes.
 #pragma once
 
 #include <compare>
@@ -38,16 +38,17 @@
     CapacityPlannerParameters planner;
     Duration interval = 250ms;
     Duration log_interval = 5s;
-    // Beyond the boot time, until an order that did not bring the engines is repeated.
+    // Time beyond the boot time after which an order is repeated if the engines have not arrived.
     Duration order_retry_margin = 3s;
-    Duration spot_retry_delay = 2s;    // Until spot engines are asked for again where there were none.
-    Duration unknown_retry_delay = 1s; // The same after no answer.
-    int max_orders_per_interval = 6;   // In one interval, of all services together.
-    // Engines make themselves known over two heartbeats. None is sent away until the number of those that were there
-    // at first has rested so long, or that many times as long is over.
-    Duration rest = 2500ms;
+    Duration spot_retry_delay = 2s;    // Until spot engines are ordered again after none were available.
+    Duration unknown_retry_delay = 1s; // Until an order without a response is repeated.
+    int max_orders_per_interval = 6;   // In one interval, for all services together.
+    // Engines register over two heartbeats. None is terminated until the number of initial engines has not changed for
+    // `settle_time`, or until `max_settle_periods` times as long has passed.
+    Duration settle_time = 2500ms;
     int max_settle_periods = 4;
-    // More are ordered only when so much more than what was wanted is needed, or each moment would bring an order.
+    // The target grows only when the number of needed engines exceeds it by this factor; otherwise every small
+    // fluctuation would cause an order.
     double scale_out_threshold = 1.08;
 };
 
@@ -58,15 +59,15 @@
     {
     }
 
-    // `holds`: this node may order now. `lease_token`: the lease's token; with another one, others may have ordered
-    // meanwhile. `demand`: of all nodes, by service.
-    void step(Time now, bool holds, std::int64_t lease_token, serving::ServingConfig const&,
+    // `holds_lease`: this node may order now. `lease_token`: the token of the duty lease; a new token means that other
+    // nodes may have ordered meanwhile. `demand`: of all nodes, by service.
+    void step(Time now, bool holds_lease, std::int64_t lease_token, serving::ServingConfig const&,
         std::map<std::string, serving::ServiceDemand> const& demand, serving::EngineDirectory const&,
         std::vector<CapacityAction>&);
     void on_order_completed(Time now, ScalingOrder const&, DutyOutcome);
 
 private:
-    // What one number at the platform is kept for.
+    // Identifies one engine count that the platform stores.
     struct OrderKey {
         std::string service;
         std::string zone;
@@ -76,8 +77,8 @@
     };
     struct Order {
         int engines = 0;
-        Time at {};
-        bool under_way = false;
+        Time ordered_at {};
+        bool in_flight = false;
         Time not_before {};
         bool unavailable = false;
     };
@@ -86,41 +87,43 @@
         std::string zone;
         ZoneEngines target;
         ZoneEngines present;
-        bool idle = false;         // Nothing is being asked.
-        bool settled = false;      // All engines that were there at first are known.
-        bool may_exchange = false; // Ordinary engines may go now.
-        int missing = 0;           // In each zone where there are no spot engines to be had.
-        int least = 0;             // Engines that serve here whatever is exchanged.
+        bool idle = false;        // There is no demand.
+        bool is_settled = false;  // All initial engines have registered.
+        bool may_replace = false; // On-demand engines may be terminated now.
+        // On-demand engines to add in each zone where no spot engines are available.
+        int spot_shortfall = 0;
+        // Engines that must serve in this zone throughout a replacement.
+        int min_serving = 0;
     };
     struct ServiceState {
-        int wanted = 0;       // All zones together.
-        bool settled = false; // All engines that were there at first are known.
-        int first_spot = -1;  // Spot engines that were there at first; -1: not looked yet.
-        int seen = 0;
-        Time first_seen {};
-        Time seen_since {};
-        double peak = 0; // Of what was needed since then.
+        int wanted = 0;                // The target for all zones together.
+        bool is_settled = false;       // All initial engines have registered.
+        int initial_spot_engines = -1; // Initial spot engines; -1: not counted yet.
+        int initial_engines = 0;
+        Time first_observed_at {};
+        Time unchanged_since {};
+        double peak_needed = 0; // Maximum of the needed engines since `low_since`.
         Time low_since {};
-        Time next_exchange {};
+        Time next_replacement {};
         Time next_log {};
     };
 
     void plan(Time now, serving::Service const&, serving::ServiceDemand const&, EnginesByZone const& present,
         std::vector<CapacityAction>&);
-    // Looks at the engines that were there before any was ordered.
-    void settle(Time now, ServiceState&, EnginesByZone const& present, bool idle) const;
+    // Counts the initial engines, that is, those that were present before any was ordered.
+    void observe_initial_engines(Time now, ServiceState&, EnginesByZone const& present, bool idle) const;
     int update_wanted(Time now, serving::Service const&, serving::ServiceDemand const&, EnginesByZone const& present);
     void plan_zone(Time now, ZonePlan const&, std::vector<CapacityAction>&);
     void order(Time now, ScalingOrder const&, ZonePlan const&, std::vector<CapacityAction>&);
-    int usual_engines(ServiceState const&) const;
-    int missing_without_spot(serving::Service const&, serving::ServiceDemand const&, EnginesByZone const& present);
+    int baseline_engines(ServiceState const&) const;
+    int spot_shortfall_per_zone(serving::Service const&, serving::ServiceDemand const&, EnginesByZone const& present);
     bool is_idle(serving::ServiceDemand const&) const;
     bool is_unavailable(OrderKey const&) const;
 
     CapacityControllerParameters parameters_;
     Time next_step_ {};
-    int orders_left_ = 0;
-    std::int64_t tenure_ = 0;
+    int remaining_orders_ = 0;
+    std::int64_t lease_token_ = 0;
     std::map<std::string, ServiceState> services_;
     std::map<OrderKey, Order> orders_;
 };
--- a/include/saltquay/duties/duty_outcome.h
+++ b/include/saltquay/duties/duty_outcome.h
@@ -1,4 +1,4 @@
-// What became of a call that is the duty of one node at a time.
+// The outcome of a platform call that is a duty: a task that one node, the lease holder, runs at a time.
 #pragma once
 
 namespace saltquay::duties {
@@ -6,8 +6,8 @@
 enum class DutyOutcome {
     Done,
     Fenced,  // The platform has seen a higher fencing token.
-    Refused, // Not now: too many calls, or not available. Nothing was done.
-    Unknown, // No answer: it may have been done, or may yet be.
+    Refused, // Rejected for now: too many calls, or not available. Nothing was done.
+    Unknown, // No response: the call may have been executed, or may still be.
 };
 
 }
--- a/include/saltquay/duties/fleet_clock.h
+++ b/include/saltquay/duties/fleet_clock.h
@@ -1,10 +1,8 @@
-// The time of day as most of the fleet has it.
+// The time of day according to the majority of the fleet.
 //
-// A machine's own clock may be seconds off, and may jump there and back. Each node
-// tells its peers what its clock says; against a clock that only runs on, that
-// gives one offset for each. The median is not moved by a minority of
-// wrong clocks, wherever they jump. The way of a message is counted as nothing:
-// a few milliseconds.
+// A machine's wall clock may be off by seconds and may jump. Each node reports its wall clock to its peers; relative to
+// the local monotonic clock that gives one offset per node. The median of the offsets is not affected by a minority of
+// wrong clocks, however they jump. Network time is neglected: it is a few milliseconds.
 #pragma once
 
 #include <chrono>
@@ -16,30 +14,30 @@
 
 namespace saltquay::duties {
 
-// Since 1970.
+// Milliseconds since 1970.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
 class FleetClock {
 public:
-    // What this machine's clock says at `now`.
+    // Records the reading of this machine's wall clock at `now`.
     void record_own_clock(Time now, WallTime);
-    // What a peer's clock said in a message that came at `now`.
+    // Records the reading of a peer's wall clock in a message that arrived at `now`.
     void record_peer_clock(std::string_view node, Time now, WallTime);
 
-    // The median of what the peers heard lately and this machine say.
+    // The median of the recently reported peer clocks and this machine's clock.
     WallTime at(Time now) const;
-    // How far this machine's own clock is ahead of the fleet's; negative: behind.
+    // How far this machine's clock is ahead of the fleet's; negative if behind.
     std::chrono::milliseconds own_clock_error(Time now) const;
 
 private:
     struct Sample {
-        std::chrono::milliseconds offset {}; // Of the wall clock from the running one.
+        std::chrono::milliseconds offset {}; // Wall clock minus monotonic clock.
         Time at {};
     };
 
     std::chrono::milliseconds median_offset(Time now) const;
 
-    std::chrono::milliseconds own_offset_ {};
+    std::chrono::milliseconds local_offset_ {};
     std::map<std::string, Sample, std::less<>> peers_;
 };
 
--- a/include/saltquay/duties/usage_aggregator.h
+++ b/include/saltquay/duties/usage_aggregator.h
@@ -1,7 +1,7 @@
-// What all nodes counted, merged by the one that holds the duties, and by others that may hold them next.
+// Merges the counts of all nodes, at the lease holder and at nodes that may hold the lease next.
 //
-// A contribution is what one life of one node counted. Contributions merge by the larger count, so that any node may
-// pass any of them on.
+// A contribution holds the counts of one incarnation of one node. Contributions are merged by maximum, so any node may
+// forward any of them.
 #pragma once
 
 #include <cstdint>
@@ -18,50 +18,51 @@
 using TenantCounts = std::map<std::string, std::int64_t>;
 
 struct UsageAggregatorParameters {
-    // A node that is silent for so long is not waited for: longer than most cuts of a link last, and short enough for
-    // a report within ten seconds of its window.
-    Duration silence = 6s;
-    // Whoever just began to merge has heard of all nodes after this time: each tells everything once a second.
+    // A node without reports for this time is not waited for. It is longer than most network partitions last, and short
+    // enough for a report within ten seconds of its window.
+    Duration unresponsive_after = 6s;
+    // A node that just began to merge has received reports of all nodes after this time: each node reports all its
+    // counts once a second.
     Duration collection_period = 1300ms;
-    Duration memory = 60s;
+    Duration retention = 60s;
 };
 
 class UsageAggregator {
 public:
     UsageAggregator(UsageAggregatorParameters const& parameters, Time began)
         : parameters_(parameters)
-        , began_(began)
+        , collection_start_(began)
     {
     }
 
-    // Takes a report of kind kUsage, of the node that counted or passed on by another.
+    // Merges a report of scope kUsage, received from the counting node or forwarded by another.
     void note(serving::PeerReport const&, Time now);
-    // Starts to wait for a first word of all nodes again, for until now nobody told this one.
-    void restart_collection(Time now) { began_ = now; }
+    // Waits for first reports of all nodes again, because no node reported to this one until now.
+    void restart_collection(Time now) { collection_start_ = now; }
 
     TenantCounts counts(std::int64_t window) const;
-    // Whether all nodes that are heard will count no more for the window, and their counts are here.
+    // Whether all known nodes have reported their final counts of the window.
     bool is_complete(std::int64_t window, Time now) const;
-    // Whether a life that began before then was heard of.
+    // Whether an incarnation that began at or before that time is known.
     bool covers_time(WallTime) const;
     void forget(Time now, std::int64_t before_window);
-    // All contributions of other nodes, to be passed on; each in messages of at most `most` counts.
-    std::vector<serving::PeerReport> contributions(std::string const& excluded_node, std::size_t most) const;
-    std::size_t incarnation_count() const { return lives_.size(); }
+    // All contributions except those of `excluded_node`, for forwarding; each report has at most `max_counts` counts.
+    std::vector<serving::PeerReport> contributions(std::string const& excluded_node, std::size_t max_counts) const;
+    std::size_t incarnation_count() const { return incarnations_.size(); }
 
 private:
-    using Life = std::pair<std::string, std::uint64_t>; // Node, and when this life of it began.
+    using NodeIncarnation = std::pair<std::string, std::uint64_t>; // The node, and when this incarnation began.
     struct Contribution {
         std::map<std::int64_t, TenantCounts> counts; // By window.
         std::int64_t closed_through = 0;
-        Time heard {};
+        Time last_report_at {};
     };
 
-    bool is_over(Life const&) const;
+    bool is_superseded(NodeIncarnation const&) const;
 
     UsageAggregatorParameters parameters_;
-    Time began_;
-    std::map<Life, Contribution> lives_;
+    Time collection_start_;
+    std::map<NodeIncarnation, Contribution> incarnations_;
 };
 
 }
--- a/include/saltquay/duties/usage_counter.h
+++ b/include/saltquay/duties/usage_counter.h
@@ -1,8 +1,8 @@
-// Counts the requests of each tenant that began to run through this node, by window.
+// Counts the requests of each tenant that began to execute through this node, by window.
 //
-// Counts only grow, so that messages about them may be lost, doubled or come in any order: the largest stands. What
-// changed is told several times in a row, and everything now and then; a node that is killed takes with it what it
-// counted since its last message.
+// Counts only grow, so messages that carry them may be lost, duplicated or reordered: the maximum is correct. Changed
+// counts are sent several times in a row, and all counts periodically. A node that is killed loses what it counted
+// since its last message.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 
 using serving::UsageCount;
 
-// A stretch of the wall clock; number k starts k times its length after the start of 1970.
+// A period of wall-clock time; window k starts at k times the length after the start of 1970.
 class UsageWindows {
 public:
     explicit UsageWindows(std::chrono::milliseconds length)
@@ -40,12 +40,12 @@
     {
     }
 
-    // A request began to run at `began`.
+    // Counts a request that began to execute at `began`.
     void note(std::string_view tenant, WallTime began, Time now);
-    // What changed since then, or all of it.
+    // The counts that changed since then; all() returns every count.
     std::vector<UsageCount> counts_changed_since(Time) const;
     std::vector<UsageCount> all() const { return counts_changed_since(Time {}); }
-    // Windows before this one were reported, or are too old to be.
+    // Discards the windows before this one: they were reported, or are too old to be.
     void forget_before(std::int64_t window);
 
 private:
--- a/include/saltquay/duties/usage_reporter.h
+++ b/include/saltquay/duties/usage_reporter.h
@@ -1,13 +1,13 @@
-// Reports each window's usage, once and always with the same counts.
+// Reports the usage of each window once, always with the same counts.
 //
-// Protocol. The node that holds the duties' lease waits until all nodes have told their counts of a window, or no
-// longer than `patience` after its end. It then seals the report: one conditional write to an object of the store that
-// keeps the last reports. Only what is sealed is ever sent, so whoever holds the lease next repeats the same counts,
-// and a call that is carried out late says nothing else. Windows are sealed in order; one that was passed over stays
-// unreported, and one that is gone from the object is never sealed again. A write without an answer is settled by
-// reading the object back before anything is sent.
+// Protocol. The lease holder waits until all nodes have reported their final counts of a window, but no longer than
+// `completeness_timeout` after its end. It then seals the report: one conditional write to a store object that holds
+// the last reports. Only sealed reports are sent, so the next lease holder repeats the same counts, and a call that is
+// executed late reports nothing else. Windows are sealed in order; a skipped window stays unreported, and one that was
+// dropped from the object is never sealed again. After a write without a response the object is read back before
+// anything is sent.
 //
-// Deterministic: times and answers in, actions out.
+// Deterministic: takes times and responses as input and produces actions.
 #pragma once
 
 #include <deque>
@@ -29,27 +29,27 @@
     bool operator==(UsageReport const&) const = default;
 };
 
-// The object of the store with the last sealed reports, oldest first.
+// The store object with the last sealed reports, oldest first.
 struct SealedUsage {
-    std::int64_t revision = 0; // 0: there is none yet.
+    std::int64_t revision = 0; // 0: the object does not exist yet.
     std::vector<UsageReport> reports;
 };
 
 struct UsageReporterParameters {
-    // After a window's end, before it is sealed: what began in its last moments is told by then.
-    std::chrono::milliseconds settling { 700 };
-    // So long after its end a window is sealed although some nodes were not heard.
-    std::chrono::milliseconds patience { 6500 };
-    // Sealed reports kept: what a holder that comes late may have to send again.
+    // Delay between the end of a window and sealing it: counts of its last moments have been reported by then.
+    std::chrono::milliseconds settle_delay { 700 };
+    // A window is sealed this long after its end even if some nodes have not reported.
+    std::chrono::milliseconds completeness_timeout { 6500 };
+    // Number of sealed reports retained, for a new lease holder that may have to send them again.
     std::size_t retained_reports = 6;
-    Duration first_pause = 200ms; // Between two tries of a call; doubles up to the longest.
-    Duration longest_pause = 1s;
-    // A report is sent again for so long; it counts for nobody after that.
+    Duration initial_retry_delay = 200ms; // Between two attempts of a call; doubles up to the maximum.
+    Duration max_retry_delay = 1s;
+    // How long a report is sent again; after that time the platform no longer counts it.
     std::chrono::milliseconds send_period { 40000 };
 };
 
 struct ReadSealedUsage { };
-// Its revision is the condition; 0: create.
+// Conditional on the object's revision; 0: create.
 struct WriteSealedUsage {
     explicit WriteSealedUsage(SealedUsage const& draft)
         : object(draft)
@@ -70,7 +70,7 @@
     std::string cause;
     std::int64_t requests = 0;
     std::size_t tenants = 0;
-    bool complete = true; // All nodes that were heard had told their last counts.
+    bool complete = true; // All known nodes had reported their final counts.
 };
 using UsageAction = std::variant<ReadSealedUsage, WriteSealedUsage, SendUsageReport, LogUsage>;
 using UsageActions = std::deque<UsageAction>;
@@ -83,48 +83,49 @@
     {
     }
 
-    // Call it often. `holds`: this node may act now. `lease_token`: the lease's token; with another one, others may
-    // have sealed meanwhile. `initial_window`: where reports begin if none was ever sealed.
-    void step(Time now, WallTime wall, bool holds, std::int64_t lease_token, std::int64_t initial_window,
+    // To be called often. `holds_lease`: this node may act now. `lease_token`: the token of the duty lease; a new token
+    // means that other nodes may have sealed meanwhile. `initial_window`: the first window to report if none was ever
+    // sealed.
+    void step(Time now, WallTime wall, bool holds_lease, std::int64_t lease_token, std::int64_t initial_window,
         UsageAggregator const&, UsageActions&);
-    // The object as it was read; nothing: it could not be read.
+    // The object as read; nothing if it could not be read.
     void on_read(Time now, std::optional<SealedUsage> const&);
     void on_written(Time now, std::int64_t revision);
-    // Another write won, or nobody knows: the object is read again.
+    // Another write won, or the result is unknown: the object is read again.
     void on_write_failed(Time now);
     void on_sent(Time now, std::int64_t window, DutyOutcome);
 
-    // The last window that is sealed, as far as this node knows; nothing: unknown or none.
+    // The last sealed window as far as this node knows; nothing if unknown or none.
     std::optional<std::int64_t> last_sealed_window() const;
-    // Reports that were sealed and not taken yet.
+    // The number of sealed reports that the platform has not acknowledged.
     std::size_t unacknowledged_reports() const;
 
 private:
     enum class Call { None, Read, Write };
-    struct Sending {
-        bool taken = false;
-        bool under_way = false;
+    struct Delivery {
+        bool acknowledged = false;
+        bool in_flight = false;
         Time next {};
-        Duration pause {};
+        Duration retry_delay {};
     };
 
-    void lose();
+    void reset_state();
     void seal(Time now, WallTime wall, std::int64_t initial_window, UsageAggregator const&, UsageActions&);
     void send(Time now, WallTime wall, UsageActions&);
-    void pass_over(std::int64_t first, WallTime, UsageAggregator const&, UsageActions&);
+    void skip_windows(std::int64_t first, WallTime, UsageAggregator const&, UsageActions&);
     std::int64_t next_window(std::int64_t initial_window) const;
     void back_off(Time now);
 
     UsageReporterParameters parameters_;
     UsageWindows windows_;
-    std::optional<SealedUsage> sealed_; // As the store has it; nothing: to be read.
-    std::optional<SealedUsage> draft_;  // Written, not answered yet.
-    std::int64_t passed_over_ = 0;      // Windows up to this one are not sealed any more.
-    std::map<std::int64_t, Sending> sendings_;
+    std::optional<SealedUsage> sealed_; // As stored; empty if it has to be read.
+    std::optional<SealedUsage> draft_;  // Written, without a response yet.
+    std::int64_t skipped_through_ = 0;  // Windows up to this one will not be sealed.
+    std::map<std::int64_t, Delivery> deliveries_;
     Call call_ = Call::None;
     Time next_call_ {};
-    Duration pause_ {};
-    std::int64_t tenure_ = 0;
+    Duration retry_delay_ {};
+    std::int64_t lease_token_ = 0;
 };
 
 }
--- a/src/duties/fleet_clock.cc
+++ b/src/duties/fleet_clock.cc
@@ -7,8 +7,9 @@
 
 namespace {
 
-// In a large fleet a node hears some ten peers itself in this time; a clock drifts by far less than a millisecond.
-constexpr Duration sample_memory = 15s;
+// In a large fleet a node receives reports from some ten peers directly in this time; a clock drifts by far less than a
+// millisecond.
+constexpr Duration sample_retention = 15s;
 
 std::chrono::milliseconds offset_of(Time now, WallTime wall)
 {
@@ -19,8 +20,8 @@
 
 void FleetClock::record_own_clock(Time now, WallTime wall)
 {
-    own_offset_ = offset_of(now, wall);
-    std::erase_if(peers_, [&](auto const& entry) { return now - entry.second.at > sample_memory; });
+    local_offset_ = offset_of(now, wall);
+    std::erase_if(peers_, [&](auto const& entry) { return now - entry.second.at > sample_retention; });
 }
 
 void FleetClock::record_peer_clock(std::string_view node, Time now, WallTime wall)
@@ -33,9 +34,9 @@
 
 std::chrono::milliseconds FleetClock::median_offset(Time now) const
 {
-    std::vector<std::chrono::milliseconds> offsets { own_offset_ };
+    std::vector<std::chrono::milliseconds> offsets { local_offset_ };
     for (auto const& [node, sample] : peers_) {
-        if (now - sample.at <= sample_memory)
+        if (now - sample.at <= sample_retention)
             offsets.push_back(sample.offset);
     }
     auto const middle = offsets.begin() + static_cast<std::ptrdiff_t>(offsets.size() / 2);
@@ -48,6 +49,6 @@
     return WallTime(std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()) + median_offset(now));
 }
 
-std::chrono::milliseconds FleetClock::own_clock_error(Time now) const { return own_offset_ - median_offset(now); }
+std::chrono::milliseconds FleetClock::own_clock_error(Time now) const { return local_offset_ - median_offset(now); }
 
 }
--- a/src/duties/usage_aggregator.cc
+++ b/src/duties/usage_aggregator.cc
@@ -8,8 +8,8 @@
 {
     if (report.node.empty())
         return;
-    auto& contribution = lives_[{ report.node, report.boot }];
-    contribution.heard = now;
+    auto& contribution = incarnations_[{ report.node, report.boot }];
+    contribution.last_report_at = now;
     contribution.closed_through = std::max(contribution.closed_through, report.closed_through);
     for (auto const& count : report.usage) {
         auto& known = contribution.counts[count.window][count.tenant];
@@ -20,7 +20,7 @@
 TenantCounts UsageAggregator::counts(std::int64_t window) const
 {
     TenantCounts sums;
-    for (auto const& [life, contribution] : lives_) {
+    for (auto const& [incarnation, contribution] : incarnations_) {
         auto const counts = contribution.counts.find(window);
         if (counts == contribution.counts.end())
             continue;
@@ -30,52 +30,54 @@
     return sums;
 }
 
-// A later life of the same node was heard.
-bool UsageAggregator::is_over(Life const& life) const
+// A later incarnation of the same node is known.
+bool UsageAggregator::is_superseded(NodeIncarnation const& incarnation) const
 {
-    auto const next = std::next(lives_.find(life));
-    return next != lives_.end() && next->first.first == life.first;
+    auto const next = std::next(incarnations_.find(incarnation));
+    return next != incarnations_.end() && next->first.first == incarnation.first;
 }
 
 bool UsageAggregator::is_complete(std::int64_t window, Time now) const
 {
-    if (now < began_ + parameters_.collection_period)
+    if (now < collection_start_ + parameters_.collection_period)
         return false;
-    return std::all_of(lives_.begin(), lives_.end(), [&](auto const& entry) {
-        auto const& [life, contribution] = entry;
-        return contribution.closed_through >= window || now - contribution.heard > parameters_.silence || is_over(life);
+    return std::all_of(incarnations_.begin(), incarnations_.end(), [&](auto const& entry) {
+        auto const& [incarnation, contribution] = entry;
+        return contribution.closed_through >= window
+            || now - contribution.last_report_at > parameters_.unresponsive_after || is_superseded(incarnation);
     });
 }
 
 bool UsageAggregator::covers_time(WallTime at) const
 {
     auto const milliseconds = static_cast<std::uint64_t>(at.time_since_epoch().count());
-    return std::any_of(
-        lives_.begin(), lives_.end(), [&](auto const& entry) { return entry.first.second <= milliseconds; });
+    return std::any_of(incarnations_.begin(), incarnations_.end(),
+        [&](auto const& entry) { return entry.first.second <= milliseconds; });
 }
 
 void UsageAggregator::forget(Time now, std::int64_t before_window)
 {
-    for (auto& [life, contribution] : lives_)
+    for (auto& [incarnation, contribution] : incarnations_)
         std::erase_if(contribution.counts, [&](auto const& entry) { return entry.first < before_window; });
-    std::erase_if(lives_, [&](auto const& entry) { return now - entry.second.heard > parameters_.memory; });
+    std::erase_if(
+        incarnations_, [&](auto const& entry) { return now - entry.second.last_report_at > parameters_.retention; });
 }
 
 std::vector<serving::PeerReport> UsageAggregator::contributions(
-    std::string const& excluded_node, std::size_t most) const
+    std::string const& excluded_node, std::size_t max_counts) const
 {
     std::vector<serving::PeerReport> reports;
-    for (auto const& [life, contribution] : lives_) {
-        if (life.first == excluded_node)
+    for (auto const& [incarnation, contribution] : incarnations_) {
+        if (incarnation.first == excluded_node)
             continue;
         serving::PeerReport report;
         report.scope = serving::ReportScope::kUsage;
-        report.node = life.first;
-        report.boot = life.second;
+        report.node = incarnation.first;
+        report.boot = incarnation.second;
         report.closed_through = contribution.closed_through;
         for (auto const& [window, counts] : contribution.counts) {
             for (auto const& [tenant, requests] : counts) {
-                if (report.usage.size() == most) {
+                if (report.usage.size() == max_counts) {
                     reports.push_back(report);
                     report.usage.clear();
                 }
--- a/tests/duties/capacity_test.cc
+++ b/tests/duties/capacity_test.cc
@@ -1,4 +1,4 @@
-// How many engines are ordered, and in which order they come and go.
+// How many engines are ordered, and in which order engines are added and terminated.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -13,17 +13,17 @@
     return { 1, 94, 4s, spot_price, { { "a", 0.85 }, { "b", 1.2 }, { "c", 1.0 } } };
 }
 
-TEST(CapacityPlannerTest, MoreDemandWantsMoreEnginesAndSpotOnesMoreToSpare)
+TEST(CapacityPlannerTest, MoreDemandAndSpotEnginesNeedMoreEngines)
 {
     CapacityPlannerParameters const parameters;
-    auto const some = target_engine_count(parameters, { "s", 30, 10 }, scaling(0.2), 3);
-    EXPECT_GT(target_engine_count(parameters, { "s", 60, 10 }, scaling(0.2), 3), some);
-    EXPECT_LT(target_engine_count(parameters, { "s", 30, 10 }, scaling(std::nullopt), 3), some);
-    // What is left when a zone's spot engines are gone and a fifth of the others fails is enough.
-    EXPECT_GE(some * (1 - 1.0 / 3 - parameters.failure_allowance), 40);
+    auto const base = target_engine_count(parameters, { "s", 30, 10 }, scaling(0.2), 3);
+    EXPECT_GT(target_engine_count(parameters, { "s", 60, 10 }, scaling(0.2), 3), base);
+    EXPECT_LT(target_engine_count(parameters, { "s", 30, 10 }, scaling(std::nullopt), 3), base);
+    // The remainder suffices after the loss of one zone's spot engines and the failure of a fifth of the others.
+    EXPECT_GE(base * (1 - 1.0 / 3 - parameters.failure_allowance), 40);
 }
 
-RC_GTEST_PROP(CapacityPlannerProperty, SharesKeepTheLimits, ())
+RC_GTEST_PROP(CapacityPlannerProperty, SharesStayWithinTheLimits, ())
 {
     auto const limits = scaling(*rc::gen::element<std::optional<double>>(std::nullopt, 0.18));
     auto const wanted = *rc::gen::inRange(0, 400);
@@ -37,7 +37,7 @@
     RC_ASSERT(sum >= std::min(wanted, 3 * limits.max));
 }
 
-// A platform with three zones that carries orders out after the boot time.
+// A platform with three zones that executes orders after the boot time.
 class CapacityControllerTest : public ::testing::Test {
 protected:
     CapacityControllerTest()
@@ -67,7 +67,7 @@
             sum += !engine.gone && engine.record.zone == zone && engine.record.spot == spot ? 1 : 0;
         return sum;
     }
-    int ordinary_share_of(std::string const& zone) const
+    int on_demand_share_of(std::string const& zone) const
     {
         return static_cast<int>(
             std::ceil(CapacityPlannerParameters {}.on_demand_share * (count(zone, false) + count(zone, true))));
@@ -79,7 +79,7 @@
             sum += count(zone, false) + count(zone, true);
         return sum;
     }
-    void shrink(std::string const& zone, bool spot, int to)
+    void keep_engines(std::string const& zone, bool spot, int to)
     {
         std::vector<std::string> gone;
         for (auto const& [id, engine] : engines_.all()) {
@@ -90,20 +90,20 @@
         for (auto const& id : gone)
             engines_.Remove(id);
     }
-    void carry_out(ScalingOrder const& order)
+    void execute(ScalingOrder const& order)
     {
         ++orders_;
-        ordinary_orders_ += order.spot ? 0 : 1;
+        on_demand_orders_ += order.spot ? 0 : 1;
         if (order.spot)
-            least_spot_order_ = std::min(least_spot_order_, order.engines);
-        if (order.spot && no_spot_) {
+            min_spot_order_ = std::min(min_spot_order_, order.engines);
+        if (order.spot && spot_unavailable_) {
             controller_.on_order_completed(now_, order, DutyOutcome::Refused);
             return;
         }
         controller_.on_order_completed(now_, order, DutyOutcome::Done);
         EXPECT_LE(order.engines, 94);
         if (order.engines < count(order.zone, order.spot))
-            shrink(order.zone, order.spot, order.engines);
+            keep_engines(order.zone, order.spot, order.engines);
         for (auto i = count(order.zone, order.spot) + booting(order); i < order.engines; ++i)
             booting_.push_back({ now_ + 4s, order.zone, order.spot });
     }
@@ -112,7 +112,7 @@
         return static_cast<int>(std::count_if(booting_.begin(), booting_.end(),
             [&](auto const& engine) { return engine.zone == order.zone && engine.spot == order.spot; }));
     }
-    void run(Duration time, bool holds = true)
+    void run(Duration time, bool holds_lease = true)
     {
         auto const end = now_ + time;
         for (; now_ < end; now_ += 100ms) {
@@ -123,12 +123,12 @@
                 return true;
             });
             std::vector<CapacityAction> actions;
-            controller_.step(now_, holds, 1, config_, demand_, engines_, actions);
+            controller_.step(now_, holds_lease, 1, config_, demand_, engines_, actions);
             for (auto const& action : actions) {
                 if (auto const* order = std::get_if<ScalingOrder>(&action))
-                    carry_out(*order);
+                    execute(*order);
             }
-            least_ = std::min(least_, total());
+            min_total_ = std::min(min_total_, total());
         }
     }
 
@@ -144,27 +144,27 @@
     std::map<std::string, serving::ServiceDemand> demand_;
     CapacityController controller_ { CapacityControllerParameters {} };
     std::vector<Booting> booting_;
-    bool no_spot_ = false;
+    bool spot_unavailable_ = false;
     int last_id_ = 0;
     int orders_ = 0;
-    int ordinary_orders_ = 0;
-    int least_spot_order_ = 1000;
-    int least_ = 1000;
+    int on_demand_orders_ = 0;
+    int min_spot_order_ = 1000;
+    int min_total_ = 1000;
 };
 
-TEST_F(CapacityControllerTest, BeforeTrafficOrdinaryEnginesAreExchangedOnceSpotOnesServe)
+TEST_F(CapacityControllerTest, BeforeTrafficOnDemandEnginesAreReplacedOnceSpotEnginesServe)
 {
     run(20s);
     EXPECT_EQ(total(), static_cast<int>(std::ceil(120 * CapacityPlannerParameters {}.cold_start_factor)));
-    EXPECT_GE(least_, 120); // Never fewer on the way.
+    EXPECT_GE(min_total_, 120); // Never fewer during the replacement.
     for (auto const* zone : { "a", "b", "c" })
-        EXPECT_EQ(count(zone, false), ordinary_share_of(zone));
+        EXPECT_EQ(count(zone, false), on_demand_share_of(zone));
     auto const before = orders_;
     run(60s);
-    EXPECT_EQ(orders_, before); // It rests.
+    EXPECT_EQ(orders_, before); // The target is stable.
 }
 
-TEST_F(CapacityControllerTest, WhereTheLimitLeavesNoRoomOrdinaryEnginesGoFirst)
+TEST_F(CapacityControllerTest, WithoutRoomOnDemandEnginesAreTerminatedFirst)
 {
     for (auto const* zone : { "a", "b", "c" }) {
         for (auto i = 0; i < 20; ++i)
@@ -175,19 +175,19 @@
     controller_ = CapacityController(parameters);
     run(30s);
     EXPECT_EQ(total(), 3 * 94);
-    EXPECT_GE(least_, 180);
-    EXPECT_EQ(count("a", false), ordinary_share_of("a"));
+    EXPECT_GE(min_total_, 180);
+    EXPECT_EQ(count("a", false), on_demand_share_of("a"));
 }
 
-TEST_F(CapacityControllerTest, EnginesThatMakeThemselvesKnownLateCountAndNoneGoesBeforeAllAreKnown)
+TEST_F(CapacityControllerTest, EnginesThatRegisterLateCountAndNoneIsTerminatedBeforeAllAreKnown)
 {
-    // Where engines register over three seconds, an order planned with the first two sends all others away.
+    // If engines register over three seconds, an order based on the first two would terminate all others.
     for (auto const* zone : { "a", "b", "c" })
-        shrink(zone, false, 0);
+        keep_engines(zone, false, 0);
     add("a", false);
     run(2s);
-    EXPECT_EQ(ordinary_orders_, 0);
-    shrink("a", false, 0);
+    EXPECT_EQ(on_demand_orders_, 0);
+    keep_engines("a", false, 0);
     for (auto const* zone : { "a", "b", "c" }) {
         for (auto i = 0; i < 40; ++i)
             add(zone, false);
@@ -198,17 +198,17 @@
     EXPECT_GE(total(), 120);
 }
 
-TEST_F(CapacityControllerTest, UnderLoadEnginesAreExchangedLittleByLittle)
+TEST_F(CapacityControllerTest, UnderLoadEnginesAreReplacedInSmallSteps)
 {
     demand_["s"] = { "s", 25, 5 };
-    run(8s);                                  // Rest, boot, and the first step.
-    EXPECT_GE(count("a", false), 40 - 2 * 7); // Two steps of 8% of what is there.
+    run(8s);                                  // Settling, boot, and the first step.
+    EXPECT_GE(count("a", false), 40 - 2 * 7); // Two steps of 8% of the engines.
     run(60s);
-    EXPECT_EQ(count("a", false), ordinary_share_of("a"));
-    EXPECT_GE(least_, 120);
+    EXPECT_EQ(count("a", false), on_demand_share_of("a"));
+    EXPECT_GE(min_total_, 120);
 }
 
-TEST_F(CapacityControllerTest, DemandThatGrowsBringsEnginesWithinABootTime)
+TEST_F(CapacityControllerTest, GrowingDemandAddsEnginesWithinABootTime)
 {
     run(20s);
     demand_["s"] = { "s", 70, 10 };
@@ -216,7 +216,7 @@
     EXPECT_GE(total(), 200);
 }
 
-TEST_F(CapacityControllerTest, ShortLullsSendNothingAway)
+TEST_F(CapacityControllerTest, ShortLullsTerminateNoEngines)
 {
     demand_["s"] = { "s", 40, 10 };
     run(30s);
@@ -233,44 +233,44 @@
     EXPECT_LT(total(), before / 2);
 }
 
-TEST_F(CapacityControllerTest, WhereNoSpotEnginesAreToBeHadOrdinaryOnesFillWhatIsNeeded)
+TEST_F(CapacityControllerTest, WithoutSpotEnginesOnDemandEnginesCoverTheDemand)
 {
     run(20s);
     demand_["s"] = { "s", 55, 5 };
     run(6s);
-    no_spot_ = true;
+    spot_unavailable_ = true;
     for (auto const* zone : { "a", "b" })
-        shrink(zone, true, 0);
+        keep_engines(zone, true, 0);
     run(12s);
-    EXPECT_GE(total(), 120); // As many as there were at first.
+    EXPECT_GE(total(), 120); // As many as there were initially.
     EXPECT_LT(total(), 135);
     EXPECT_GT(count("a", false) + count("b", false), 12);
-    no_spot_ = false;
+    spot_unavailable_ = false;
     run(120s);
-    EXPECT_EQ(count("a", false), ordinary_share_of("a"));
+    EXPECT_EQ(count("a", false), on_demand_share_of("a"));
 }
 
-TEST_F(CapacityControllerTest, ANewHolderOrdersNoOrdinaryEnginesWhileEnoughAreLeftAndSendsThemAwayLater)
+TEST_F(CapacityControllerTest, NewLeaseHolderOrdersNoOnDemandEnginesWhileEnoughAreLeftAndTerminatesThemLater)
 {
-    // On a day of three zones the holder changed; the next took all that it saw for the least that must serve, ordered
-    // 94 ordinary engines for a zone's loss, and kept them.
+    // Seen in a run with three zones: after a change of the lease holder, the new holder took all engines that it
+    // observed for the minimum that must serve, ordered 94 on-demand engines when a zone was lost, and kept them.
     run(20s);
     demand_["s"] = { "s", 55, 5 };
     controller_ = CapacityController(CapacityControllerParameters {});
     run(10s);
-    no_spot_ = true;
-    shrink("a", true, 0);
-    ordinary_orders_ = 0;
+    spot_unavailable_ = true;
+    keep_engines("a", true, 0);
+    on_demand_orders_ = 0;
     run(8s);
-    EXPECT_EQ(ordinary_orders_, 0);
+    EXPECT_EQ(on_demand_orders_, 0);
     for (auto i = 0; i < 60; ++i)
         add("a", false);
-    no_spot_ = false;
+    spot_unavailable_ = false;
     run(60s);
-    EXPECT_LE(count("a", false), ordinary_share_of("a") + 1);
+    EXPECT_LE(count("a", false), on_demand_share_of("a") + 1);
 }
 
-TEST_F(CapacityControllerTest, EnginesGoLittleByLittleAfterALongLull)
+TEST_F(CapacityControllerTest, EnginesAreTerminatedInSmallStepsAfterALongLull)
 {
     demand_["s"] = { "s", 40, 10 };
     run(60s);
@@ -281,13 +281,13 @@
     auto last = before;
     for (auto i = 0; i < 6; ++i) {
         run(10s);
-        EXPECT_GE(total(), last - before / 8) << i; // What they keep is not lost all at once.
+        EXPECT_GE(total(), last - before / 8) << i; // Their KV caches are not lost all at once.
         last = total();
     }
     EXPECT_LT(total(), before);
 }
 
-TEST_F(CapacityControllerTest, NoMoreAreWantedThanTheLimitsAllow)
+TEST_F(CapacityControllerTest, TargetStaysWithinTheLimits)
 {
     run(20s);
     demand_["s"] = { "s", 300, 50 };
@@ -295,20 +295,20 @@
     EXPECT_EQ(total(), 3 * 94);
     demand_["s"] = { "s", 5, 1 };
     run(130s);
-    EXPECT_LT(total(), 3 * 94); // The first step is one of what there is, not of what was asked for in vain.
+    EXPECT_LT(total(), 3 * 94); // Relative to the engines present, not to the demand.
 }
 
-TEST_F(CapacityControllerTest, WhereOrdinaryEnginesFillTheLimitNoneAreOrderedInsteadOfSpotOnes)
+TEST_F(CapacityControllerTest, OnDemandEnginesAtTheLimitDoNotCancelSpotEngines)
 {
     run(20s);
     demand_["s"] = { "s", 150, 20 };
     run(6s);
-    no_spot_ = true;
+    spot_unavailable_ = true;
     for (auto const* zone : { "a", "b" })
-        shrink(zone, true, 0);
-    least_spot_order_ = 1000;
+        keep_engines(zone, true, 0);
+    min_spot_order_ = 1000;
     run(20s);
-    EXPECT_GT(least_spot_order_, 0);
+    EXPECT_GT(min_spot_order_, 0);
     EXPECT_GE(total(), 200);
 }
 
