--- a/include/saltquay/replica/relayed_store.h
+++ b/include/saltquay/replica/relayed_store.h
@@ -2,7 +2,7 @@
 // (see upstream_selector.h); writes and single reads always go to the store.
 //
 // Protocol. A node serves its followers from its replica for as long as the replica is fresh (see freshness_tracker.h).
-// A follower repeats long-polling watches; each is answered when there is a change, or when the store has confirmed
+// A follower repeats long-polling watches; each gets a response when there is a change, or when the store has confirmed
 // that there is none. When the replica becomes stale, the upstream does not respond, or a peer's report names a change
 // that has not arrived, the follower continues from its current revision at the next upstream, at last at the store
 // itself. Each response carries its number of hops, so that long chains are rejected, and its age. A node that starts
--- a/src/duties/capacity_controller.cc
+++ b/src/duties/capacity_controller.cc
@@ -139,8 +139,8 @@
     auto const zones = static_cast<int>(target.size());
     auto const min_serving = (std::max(baseline_engines(state), needed) + zones - 1) / zones;
     for (auto const& [zone, engines] : target) {
-        auto const entry = present.find(zone);
-        auto const present_here = entry == present.end() ? ZoneEngines {} : entry->second;
+        auto const found = present.find(zone);
+        auto const present_here = found == present.end() ? ZoneEngines {} : found->second;
         plan_zone(now,
             { service, zone, engines, present_here, idle, state.is_settled, may_replace, spot_shortfall, min_serving },
             actions);
--- a/src/fetch/fetcher.cc
+++ b/src/fetch/fetcher.cc
@@ -65,9 +65,9 @@
     // The Pending entry owns the call, which must not own it in turn.
     std::weak_ptr<Pending> const weak = pending;
     http::CallHandlers handlers;
-    handlers.on_head = [weak](http::ResponseHead const& head) {
+    handlers.on_head = [weak](http::ResponseHead const& response_head) {
         if (auto const call = weak.lock())
-            call->reply.status = head.status;
+            call->reply.status = response_head.status;
     };
     handlers.on_body = [this, id, weak](std::string_view bytes) {
         if (auto const call = weak.lock()) {
--- a/tests/duties/usage_test.cc
+++ b/tests/duties/usage_test.cc
@@ -13,13 +13,13 @@
 WallTime wall(std::int64_t milliseconds) { return WallTime(std::chrono::milliseconds(milliseconds)); }
 
 serving::PeerReport usage_report(
-    std::string const& node, std::uint64_t incarnation, std::int64_t closed_through, std::vector<UsageCount> counts)
+    std::string const& node, std::uint64_t incarnation, std::int64_t last_closed_window, std::vector<UsageCount> counts)
 {
     serving::PeerReport report;
     report.scope = serving::ReportScope::kUsage;
     report.node = node;
     report.boot = incarnation;
-    report.closed_through = closed_through;
+    report.closed_through = last_closed_window;
     report.usage = std::move(counts);
     return report;
 }
--- a/tests/replica/peer_list_test.cc
+++ b/tests/replica/peer_list_test.cc
@@ -40,16 +40,16 @@
     int calls = 0;
 };
 
-// A peer that sends one response in `parts` parts, with a pause before each.
+// A peer that sends one response in `parts` parts, with a delay before each.
 class SlowPeer {
 public:
-    SlowPeer(boost::asio::io_context& loop, std::string response, int parts, std::chrono::milliseconds pause)
+    SlowPeer(boost::asio::io_context& loop, std::string response, int parts, std::chrono::milliseconds delay)
         : acceptor_(loop, { boost::asio::ip::address_v4::loopback(), 0 })
         , socket_(loop)
         , timer_(loop)
         , response_(std::move(response))
         , part_((response_.size() + static_cast<std::size_t>(parts) - 1) / static_cast<std::size_t>(parts))
-        , pause_(pause)
+        , delay_(delay)
     {
         acceptor_.async_accept(socket_, [this](boost::system::error_code error) {
             if (!error)
@@ -61,7 +61,7 @@
 private:
     void send_next()
     {
-        timer_.expires_after(pause_);
+        timer_.expires_after(delay_);
         timer_.async_wait([this](boost::system::error_code error) {
             if (error || sent_ == response_.size())
                 return;
@@ -79,7 +79,7 @@
     std::string response_;
     std::size_t part_;
     std::size_t sent_ = 0;
-    std::chrono::milliseconds pause_;
+    std::chrono::milliseconds delay_;
 };
 
 std::string make_response()
--- a/tests/replica/record_replica_test.cc
+++ b/tests/replica/record_replica_test.cc
@@ -96,10 +96,10 @@
 RC_GTEST_PROP(RecordCodecProperty, ArbitraryBytesAreDecodedOrRejected, (std::string const& bytes))
 {
     static_cast<void>(decode_list(bytes));
-    auto whole = encode(RelayedEvents { { { event("a", 4) }, 6 }, Provenance {} });
-    auto& changed = whole[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(whole.size())))];
+    auto encoded = encode(RelayedEvents { { { event("a", 4) }, 6 }, Provenance {} });
+    auto& changed = encoded[static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(encoded.size())))];
     changed = static_cast<char>(changed ^ *rc::gen::inRange(1, 255));
-    static_cast<void>(decode_events(whole));
+    static_cast<void>(decode_events(encoded));
 }
 
 }
--- a/tests/replica/relayed_store_test.cc
+++ b/tests/replica/relayed_store_test.cc
@@ -99,12 +99,13 @@
         };
         gateway::WatcherHandlers handlers;
         handlers.on_list = [this](ObjectList const& list) {
-            seen.clear();
+            copies.clear();
             for (auto const& object : list.items)
-                seen[object.name] = object.content;
+                copies[object.name] = object.content;
+        };
+        handlers.on_event = [this](gateway::ObjectEvent const& event) {
+            copies[event.object.name] = event.object.content;
         };
-        handlers.on_event = [this](
-                                gateway::ObjectEvent const& event) { seen[event.object.name] = event.object.content; };
         handlers.on_connectivity_changed = [this](bool is_connected, std::string const&) { connected = is_connected; };
         watcher = std::make_unique<gateway::CollectionWatcher>(
             loop, store, "engines", gateway::WatcherTimings {}, 1, std::move(handlers));
@@ -118,8 +119,7 @@
         return options;
     }
     // Receives a report of a peer with the given address and link capacity.
-    void receive_report(
-        std::string const& name, std::string const& address, int link_mbps, std::int64_t changed_at, Time now)
+    void receive(std::string const& name, std::string const& address, int link_mbps, std::int64_t changed_at, Time now)
     {
         serving::PeerReport report;
         report.node = name;
@@ -137,7 +137,7 @@
     std::unique_ptr<RelayServer> relay;
     serving::PeerTable table;
     std::unique_ptr<gateway::CollectionWatcher> watcher;
-    std::map<std::string, std::string> seen;
+    std::map<std::string, std::string> copies;
     bool connected = false;
     std::uint64_t sequence = 0;
 };
@@ -155,8 +155,8 @@
     {
         auto const address = free_address();
         reader_->origin.put("e1");
-        reader_->receive_report("follower", "", 10, 0, Time { 1s });
-        follower_->receive_report("reader", address, 1000, 0, Time { 1s });
+        reader_->receive("follower", "", 10, 0, Time { 1s });
+        follower_->receive("reader", address, 1000, 0, Time { 1s });
         EXPECT_TRUE(reader_->relay->listen(address).ok());
     }
     void start_both()
@@ -174,7 +174,7 @@
     }
     bool follower_sees(std::string const& name, Duration limit)
     {
-        return run_until([&] { return follower_->seen.contains(name); }, limit);
+        return run_until([&] { return follower_->copies.contains(name); }, limit);
     }
 
     boost::asio::io_context loop_;
@@ -208,8 +208,7 @@
 {
     // Connections are established, because the kernel accepts them, but never get a response.
     boost::asio::ip::tcp::acceptor frozen(loop_, { boost::asio::ip::address_v4::loopback(), 0 });
-    follower_->receive_report(
-        "reader", "127.0.0.1:" + std::to_string(frozen.local_endpoint().port()), 1000, 0, Time { 1s });
+    follower_->receive("reader", "127.0.0.1:" + std::to_string(frozen.local_endpoint().port()), 1000, 0, Time { 1s });
     follower_->origin.put("e5");
     auto const started = std::chrono::steady_clock::now();
     follower_->watcher->Start();
@@ -224,13 +223,13 @@
     reader_->origin.unresponsive = true; // Its watch hangs on a dead connection.
     follower_->origin.copy(reader_->origin);
     follower_->origin.put("e4");
-    auto const heard = run_until(
+    auto const received = run_until(
         [&] {
-            follower_->receive_report("third", "", 0, follower_->origin.revision, Time { 2s });
-            return follower_->seen.contains("e4");
+            follower_->receive("third", "", 0, follower_->origin.revision, Time { 2s });
+            return follower_->copies.contains("e4");
         },
         3s); // The reader itself is detected as disconnected only after 4.6 s.
-    EXPECT_TRUE(heard);
+    EXPECT_TRUE(received);
 }
 
 TEST_F(RelayedStoreTest, ReaderDisconnectedFromTheStoreDoesNotRelay)
@@ -263,16 +262,15 @@
     ASSERT_TRUE(served.relay->listen(address).ok());
     served.watcher->Start();
     ASSERT_TRUE(run_until([&] { return served.connected; }, 1s));
-    reader_->receive_report("served", address, 500, 0, Time { 2s });
+    reader_->receive("served", address, 500, 0, Time { 2s });
     reader_->origin.up = false;
     served.origin.put("e2");
-    EXPECT_TRUE(run_until([&] { return reader_->seen.contains("e2") && reader_->connected; }, 1500ms));
+    EXPECT_TRUE(run_until([&] { return reader_->copies.contains("e2") && reader_->connected; }, 1500ms));
 }
 
 TEST_F(RelayedStoreTest, RestartedNodeListsAtOnce)
 {
-    // Seen in fcl-norte trouble-2: after a power loss 21 requests reached nodes that waited 0.4 s for peers before they
-    // listed.
+    // Seen in fcl-norte trouble-2: after a power loss 21 requests met nodes that waited 0.4 s for peers.
     Node alone(loop_, "alone", 10);
     alone.origin.put("e1");
     alone.watcher->Start();
@@ -281,15 +279,14 @@
 
 TEST_F(RelayedStoreTest, RestartedNodeAsksASeedBeforeTheStore)
 {
-    // Seen in rcr-roster-large trouble-2: 310 nodes restarted, and each called the store four times before it knew a
-    // peer.
+    // Seen in rcr-roster-large trouble-2: 310 restarted nodes each called the store four times before finding a peer.
     auto const address = free_address();
     ASSERT_TRUE(reader_->relay->listen(address).ok());
     reader_->watcher->Start();
     ASSERT_TRUE(run_until([&] { return reader_->connected; }, 2s));
     Node back(loop_, "back", 10, { free_address(), address }); // Nobody listens at the first.
     back.watcher->Start();
-    EXPECT_TRUE(run_until([&] { return back.connected && back.seen.contains("e1"); }, 300ms));
+    EXPECT_TRUE(run_until([&] { return back.connected && back.copies.contains("e1"); }, 300ms));
     EXPECT_EQ(back.origin.calls, 0);
 }
 
@@ -307,7 +304,7 @@
     ASSERT_TRUE(run_until([&] { return reader_->connected; }, 2s));
     reader_->origin.up = false;
     follower_->origin.up = false;
-    // By then the reader refuses ordinary lists, because its replica is stale.
+    // By then the reader rejects lists without allow_stale, because its replica is stale.
     ASSERT_TRUE(run_until([&] { return !reader_->store.list_for_peer("engines", false).ok(); }, 8s));
     follower_->watcher->Start();
     EXPECT_TRUE(follower_sees("e1", 2s));
@@ -318,8 +315,7 @@
     reader_->watcher->Start();
     ASSERT_TRUE(run_until([&] { return reader_->connected; }, 2s));
     auto const before = reader_->origin.calls;
-    // 165 engines update their records continuously; sent one by one, the changes would wake each reader ten times a
-    // second.
+    // 165 engines update their records continuously: sent singly, that wakes each reader ten times a second.
     auto const end = std::chrono::steady_clock::now() + 2s;
     int changes = 0;
     while (std::chrono::steady_clock::now() < end) {
@@ -330,7 +326,7 @@
     // A single change after a quiet period arrives at once.
     run_until([] { return false; }, 700ms);
     reader_->origin.put("alone");
-    EXPECT_TRUE(run_until([&] { return reader_->seen.contains("alone"); }, 200ms));
+    EXPECT_TRUE(run_until([&] { return reader_->copies.contains("alone"); }, 200ms));
 }
 
 // A chain of three nodes, in which the hop count of relayed records is 0 at the node that reads the store.
@@ -340,7 +336,7 @@
     {
         auto const address = free_address();
         EXPECT_TRUE(follower_->relay->listen(address).ok());
-        last_->receive_report("follower", address, 1000, 0, Time { 1s });
+        last_->receive("follower", address, 1000, 0, Time { 1s });
     }
     std::unique_ptr<Node> last_ = std::make_unique<Node>(loop_, "last", 10);
 };
@@ -350,9 +346,9 @@
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
     last_->watcher->Start();
-    EXPECT_TRUE(run_until([&] { return last_->seen.contains("e1"); }, 1s));
+    EXPECT_TRUE(run_until([&] { return last_->copies.contains("e1"); }, 1s));
     reader_->origin.put("e2");
-    EXPECT_TRUE(run_until([&] { return last_->seen.contains("e2"); }, 2s));
+    EXPECT_TRUE(run_until([&] { return last_->copies.contains("e2"); }, 2s));
     EXPECT_EQ(last_->origin.calls, 0);
     EXPECT_EQ(reader_->store.changes_for_peer("engines", 0).status().code(), absl::StatusCode::kOutOfRange);
     EXPECT_EQ(follower_->store.list_for_peer("engines", false)->from.hops, 1);
@@ -371,11 +367,11 @@
 {
     start_both();
     ASSERT_TRUE(follower_sees("e1", 1s));
-    // Each node considers the other one the reader, as when neither has heard of a third node.
+    // Each node considers the other one the reader, as when neither knows a third node.
     auto const address = free_address();
     ASSERT_TRUE(last_->relay->listen(address).ok());
-    follower_->receive_report("last", address, 2000, 0, Time { 2s });
-    follower_->receive_report("reader", address, 1, 0, Time { 2s });
+    follower_->receive("last", address, 2000, 0, Time { 2s });
+    follower_->receive("reader", address, 1, 0, Time { 2s });
     last_->watcher->Start();
     // Responses with too many hops break the cycle: one of the nodes asks the store.
     EXPECT_TRUE(run_until([&] { return follower_->origin.calls + last_->origin.calls > 0; }, 4s));
@@ -391,11 +387,11 @@
     TableStore origin(loop_);
     RelayedStore near(loop_, origin, options);
     near.update_peers(last_->table.Heard(), last_->table.LastChanges());
-    std::optional<bool> taken;
-    near.Watch("engines", 0, std::chrono::milliseconds(50), [&](auto const& events) { taken = events.ok(); });
-    EXPECT_TRUE(run_until([&] { return taken.has_value(); }, 2s));
+    std::optional<bool> accepted;
+    near.Watch("engines", 0, std::chrono::milliseconds(50), [&](auto const& events) { accepted = events.ok(); });
+    EXPECT_TRUE(run_until([&] { return accepted.has_value(); }, 2s));
     // It asked the store instead, or reported that no node near enough is connected to it.
-    EXPECT_EQ(*taken, origin.calls > 0);
+    EXPECT_EQ(*accepted, origin.calls > 0);
 }
 
 }
--- a/tests/replica/replica_fleet.cc
+++ b/tests/replica/replica_fleet.cc
@@ -208,9 +208,11 @@
     gateway::WatcherHandlers handlers;
     handlers.on_list = [this](gateway::ObjectList const& list) {
         for (auto const& object : list.items)
-            seen = std::max(seen, object.revision);
+            latest_revision = std::max(latest_revision, object.revision);
+    };
+    handlers.on_event = [this](gateway::ObjectEvent const& event) {
+        latest_revision = std::max(latest_revision, event.object.revision);
     };
-    handlers.on_event = [this](gateway::ObjectEvent const& event) { seen = std::max(seen, event.object.revision); };
     handlers.on_connectivity_changed = [](bool, std::string const&) {};
     watcher = std::make_unique<gateway::CollectionWatcher>(
         loop, store, "config", gateway::WatcherTimings {}, 1, std::move(handlers));
@@ -294,11 +296,11 @@
 void ReplicaFleet::check(Time now)
 {
     for (auto const& node : nodes_) {
-        if (now < node->exempt_until || node->seen >= table_.required_revision(now, apply_limit))
+        if (now < node->exempt_until || node->latest_revision >= table_.required_revision(now, apply_limit))
             continue;
         for (auto const& [at, revision] : table_.acknowledged) {
             auto const delay = now - at - apply_limit;
-            if (revision <= node->seen || delay <= worst_delay_)
+            if (revision <= node->latest_revision || delay <= worst_delay_)
                 continue;
             worst_delay_ = std::chrono::duration_cast<Duration>(delay);
             worst_node_ = node->name;
--- a/tests/replica/replica_fleet.h
+++ b/tests/replica/replica_fleet.h
@@ -117,7 +117,7 @@
     std::unique_ptr<BlackholeProxy> link;
     serving::PeerTable table;
     std::unique_ptr<gateway::CollectionWatcher> watcher;
-    std::int64_t seen = 0;
+    std::int64_t latest_revision = 0;
     std::uint64_t sequence = 0;
     // Until then the freshness limit does not apply to the node, because its path to the store has, or recently had, a
     // fault.
