--- a/src/gateway/collection_watcher.cc
+++ b/src/gateway/collection_watcher.cc
@@ -7,14 +7,14 @@
 namespace saltquay::gateway {
 
 CollectionWatcher::CollectionWatcher(boost::asio::io_context& loop, ObjectStore& store, std::string kind,
-                                     const WatcherTimings& times, std::uint64_t seed, WatcherHandlers handlers)
+                                     const WatcherTimings& timings, std::uint64_t seed, WatcherHandlers handlers)
     : store_(store),
       kind_(std::move(kind)),
-      times_(times),
+      timings_(timings),
       handlers_(std::move(handlers)),
       random_(seed),
       timer_(loop),
-      backoff_(times.first_backoff) {}
+      backoff_(timings.initial_backoff) {}
 
 void CollectionWatcher::List() {
   store_.List(kind_, [this, alive = std::weak_ptr<bool>(alive_)](const absl::StatusOr<ObjectList>& list) {
@@ -22,7 +22,7 @@
     if (!list.ok()) return OnError(list.status());
     revision_ = list->at;
     listed_ = true;
-    backoff_ = times_.first_backoff;
+    backoff_ = timings_.initial_backoff;
     handlers_.on_list(*list);
     SetConnected(true, "listed");
     Watch();
@@ -30,21 +30,21 @@
 }
 
 void CollectionWatcher::Watch() {
-  store_.Watch(kind_, revision_, times_.watch,
+  store_.Watch(kind_, revision_, timings_.watch_timeout,
                [this, alive = std::weak_ptr<bool>(alive_)](const absl::StatusOr<ObjectEvents>& events) {
                  if (alive.expired()) return;
                  if (!events.ok()) return OnError(events.status());
                  revision_ = events->at;
-                 backoff_ = times_.first_backoff;
+                 backoff_ = timings_.initial_backoff;
                  for (const ObjectEvent& event : events->events) handlers_.on_event(event);
                  SetConnected(true, "watched");
                  if (events->events.empty()) return Watch();
-                 WatchAfter(times_.gather);
+                 WatchAfter(timings_.batch_delay);
                });
 }
 
-void CollectionWatcher::WatchAfter(std::chrono::milliseconds pause) {
-  timer_.expires_after(pause);
+void CollectionWatcher::WatchAfter(std::chrono::milliseconds delay) {
+  timer_.expires_after(delay);
   timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](boost::system::error_code error) {
     if (!error && !alive.expired()) Watch();
   });
@@ -55,7 +55,7 @@
   if (status.code() == absl::StatusCode::kOutOfRange) return List();
   const auto jitter = std::chrono::milliseconds(random_.Below(static_cast<std::uint64_t>(backoff_.count()) + 1));
   timer_.expires_after(backoff_ / 2 + jitter);
-  backoff_ = std::min(backoff_ * 2, times_.longest_backoff);
+  backoff_ = std::min(backoff_ * 2, timings_.max_backoff);
   timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](boost::system::error_code error) {
     if (error || alive.expired()) return;
     if (listed_) {
@@ -66,10 +66,10 @@
   });
 }
 
-void CollectionWatcher::SetConnected(bool in_contact, const std::string& cause) {
-  if (in_contact_ == in_contact) return;
-  in_contact_ = in_contact;
-  handlers_.on_connectivity_changed(in_contact, cause);
+void CollectionWatcher::SetConnected(bool connected, const std::string& cause) {
+  if (connected_ == connected) return;
+  connected_ = connected;
+  handlers_.on_connectivity_changed(connected, cause);
 }
 
 }  // namespace saltquay::gateway
--- a/src/gateway/collection_watcher.h
+++ b/src/gateway/collection_watcher.h
@@ -1,8 +1,8 @@
-// Keeps up with one kind of object in the store: lists, then watches.
+// Keeps a consumer up to date with one kind of store object: one list, then long-poll watches.
 //
-// Protocol: after a list, watches go on from the revision last seen. A watch
-// that is cut or fails is begun again from there; only forgotten history leads to
-// a list. Errors back off with jitter.
+// Every watch resumes from the last revision seen, also after a watch that failed or was cut off. The collection is
+// listed again only when the store no longer has the history since that revision. Errors are retried with jittered
+// exponential backoff.
 #pragma once
 
 #include <chrono>
@@ -24,43 +24,43 @@
 struct WatcherHandlers {
   std::function<void(const ObjectList&)> on_list;
   std::function<void(const ObjectEvent&)> on_event;
-  // Whether the store is heard; the cause where it is not.
+  // Called when the store becomes connected or disconnected, with the reason.
   std::function<void(bool, const std::string&)> on_connectivity_changed;
 };
 
 struct WatcherTimings {
-  std::chrono::milliseconds watch{4000};
-  std::chrono::milliseconds gather{
-      100};  // After changes, before the next watch: what comes in a row comes in one answer.
-  std::chrono::milliseconds first_backoff{50};
-  std::chrono::milliseconds longest_backoff{400};
+  std::chrono::milliseconds watch_timeout{4000};
+  // Pause after changes before the next watch, so that a burst of changes arrives in one response.
+  std::chrono::milliseconds batch_delay{100};
+  std::chrono::milliseconds initial_backoff{50};
+  std::chrono::milliseconds max_backoff{400};
 };
 
 class CollectionWatcher {
  public:
-  CollectionWatcher(boost::asio::io_context& loop, ObjectStore& store, std::string kind, const WatcherTimings& times,
+  CollectionWatcher(boost::asio::io_context& loop, ObjectStore& store, std::string kind, const WatcherTimings& timings,
                     std::uint64_t seed, WatcherHandlers handlers);
 
   void Start() { List(); }
-  bool in_contact() const { return in_contact_; }
+  bool connected() const { return connected_; }
 
  private:
   void List();
   void Watch();
-  void WatchAfter(std::chrono::milliseconds pause);
+  void WatchAfter(std::chrono::milliseconds delay);
   void OnError(const absl::Status& status);
-  void SetConnected(bool in_contact, const std::string& cause);
+  void SetConnected(bool connected, const std::string& cause);
 
   ObjectStore& store_;
   std::string kind_;
-  WatcherTimings times_;
+  WatcherTimings timings_;
   WatcherHandlers handlers_;
   Random random_;
   BootTimer timer_;
   std::chrono::milliseconds backoff_;
   std::int64_t revision_ = 0;
   bool listed_ = false;
-  bool in_contact_ = false;
+  bool connected_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/gateway/duty_api.h
+++ b/src/gateway/duty_api.h
@@ -1,6 +1,6 @@
-// Calls to the platform that are the duty of one node at a time, as the product sees them.
+// Interface to the platform API that only the duty lease holder may call.
 //
-// Callbacks run later on the loop's thread, exactly once.
+// Callbacks run asynchronously on the event loop's thread, exactly once.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace saltquay::gateway {
 
-// Who calls, under which fencing token of the duties' lease.
+// The calling node and its fencing token of the duty lease.
 struct DutyHolder {
   std::string node;
   std::int64_t token = 0;
--- a/src/gateway/engine_probe.cc
+++ b/src/gateway/engine_probe.cc
@@ -9,8 +9,8 @@
 
 using serving::EngineProbeOutcome;
 
-// Far longer than a reset takes to come back within a region; a machine that says nothing for so long is cut off or
-// dark.
+// Much longer than the round trip of a TCP reset within a region; a machine that does not respond within this time is
+// partitioned or powered off.
 constexpr std::chrono::milliseconds kProbeTimeout{300};
 
 EngineProbeOutcome ToOutcome(const boost::system::error_code& error) {
@@ -30,29 +30,29 @@
 };
 
 void EngineProbe::Check(const std::string& address, Handler done) {
-  const std::uint64_t id = ++last_;
+  const std::uint64_t id = ++last_id_;
   const auto probe = std::make_shared<Probe>(loop_);
   probe->done = std::move(done);
   probes_[id] = probe;
   const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(address);
   if (!endpoint.ok()) {
     boost::asio::post(loop_, [this, id, alive = std::weak_ptr<Probe>(probe)] {
-      if (!alive.expired()) End(id, EngineProbeOutcome::kUnknown);
+      if (!alive.expired()) Finish(id, EngineProbeOutcome::kUnknown);
     });
     return;
   }
-  // A probe that is gone has closed its socket and timer: their handlers then hold none.
+  // The handlers hold weak references: erasing a probe closes its socket and timer, and pending handlers do nothing.
   const std::weak_ptr<Probe> alive = probe;
   probe->timer.expires_after(kProbeTimeout);
   probe->timer.async_wait([this, id, alive](boost::system::error_code error) {
-    if (!error && !alive.expired()) End(id, EngineProbeOutcome::kUnknown);
+    if (!error && !alive.expired()) Finish(id, EngineProbeOutcome::kUnknown);
   });
   probe->socket.async_connect(*endpoint, [this, id, alive](boost::system::error_code error) {
-    if (!alive.expired()) End(id, ToOutcome(error));
+    if (!alive.expired()) Finish(id, ToOutcome(error));
   });
 }
 
-void EngineProbe::End(std::uint64_t id, EngineProbeOutcome outcome) {
+void EngineProbe::Finish(std::uint64_t id, EngineProbeOutcome outcome) {
   const auto entry = probes_.find(id);
   if (entry == probes_.end()) return;
   const Handler done = std::move(entry->second->done);
--- a/src/gateway/engine_probe.h
+++ b/src/gateway/engine_probe.h
@@ -1,4 +1,4 @@
-// One connection to an engine's address, to learn whether anybody listens there.
+// Opens a TCP connection to an engine's address to find out whether a process listens there.
 #pragma once
 
 #include <functional>
@@ -22,17 +22,18 @@
 
   explicit EngineProbe(boost::asio::io_context& loop) : loop_(loop) {}
 
-  // `done` is called once, later, unless the probe goes first. An address that does not parse is kUnknown.
+  // `done` is called asynchronously, once, unless the EngineProbe is destroyed first. The outcome is kUnknown for an
+  // address that does not parse.
   void Check(const std::string& address, Handler done);
 
  private:
   struct Probe;
 
-  void End(std::uint64_t id, serving::EngineProbeOutcome outcome);
+  void Finish(std::uint64_t id, serving::EngineProbeOutcome outcome);
 
   boost::asio::io_context& loop_;
   std::map<std::uint64_t, std::shared_ptr<Probe>> probes_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_id_ = 0;
 };
 
 }  // namespace saltquay::gateway
--- a/src/gateway/engine_protocol.cc
+++ b/src/gateway/engine_protocol.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kMisdirected = 421;
-constexpr std::size_t kMostPromptParts = 256;
+constexpr std::size_t kMaxPromptParts = 256;
 
 std::optional<int> ParseInt(std::string_view text) {
   while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
@@ -34,7 +34,7 @@
   std::vector<serving::PromptPart> parts;
   for (const std::string_view item : SplitCommas(text)) {
     const std::size_t colon = item.find(':');
-    if (colon == std::string_view::npos || parts.size() >= kMostPromptParts) continue;
+    if (colon == std::string_view::npos || parts.size() >= kMaxPromptParts) continue;
     const std::optional<int> tokens = ParseInt(item.substr(colon + 1));
     if (tokens) parts.push_back({std::string(item.substr(0, colon)), *tokens});
   }
@@ -106,15 +106,15 @@
   return facts;
 }
 
-bool EngineProtocol::Answers(const http::ResponseHead& head, std::string_view request_id) const {
+bool EngineProtocol::IsResponseTo(const http::ResponseHead& head, std::string_view request_id) const {
   const auto id = head.fields.Find(names_.request_id);
   return !id || *id == request_id;
 }
 
 std::string EngineProtocol::DecodeKvHandle(const std::string& body) const {
-  const nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
-  if (!answer.is_object() || !answer.contains(names_.handle_member)) return "";
-  const nlohmann::json& handle = answer[names_.handle_member];
+  const nlohmann::json response = nlohmann::json::parse(body, nullptr, false);
+  if (!response.is_object() || !response.contains(names_.handle_member)) return "";
+  const nlohmann::json& handle = response[names_.handle_member];
   return handle.is_string() ? handle.get<std::string>() : "";
 }
 
@@ -135,19 +135,19 @@
   return head;
 }
 
-std::optional<serving::EngineStateReport> EngineProtocol::ReadState(const std::string& body) const {
-  const nlohmann::json answer = nlohmann::json::parse(body, nullptr, false);
-  if (!answer.is_object()) return std::nullopt;
-  const auto stage = answer.find(names_.stage_member);
-  const auto sequence = answer.find(names_.sequence_member);
-  const auto busy = answer.find(names_.busy_member);
-  if (stage == answer.end() || !stage->is_string() || sequence == answer.end() || !sequence->is_number_integer()) {
+std::optional<serving::EngineStateReport> EngineProtocol::DecodeEngineState(const std::string& body) const {
+  const nlohmann::json response = nlohmann::json::parse(body, nullptr, false);
+  if (!response.is_object()) return std::nullopt;
+  const auto stage = response.find(names_.stage_member);
+  const auto sequence = response.find(names_.sequence_member);
+  const auto busy = response.find(names_.busy_member);
+  if (stage == response.end() || !stage->is_string() || sequence == response.end() || !sequence->is_number_integer()) {
     return std::nullopt;
   }
   serving::EngineStateReport report;
   report.stage = *stage == names_.stage_prefill ? serving::EngineStage::kPrefill : serving::EngineStage::kDecode;
   report.sequence = sequence->get<std::int64_t>();
-  report.busy = busy != answer.end() && busy->is_boolean() && busy->get<bool>();
+  report.busy = busy != response.end() && busy->is_boolean() && busy->get<bool>();
   return report;
 }
 
--- a/src/gateway/engine_protocol.h
+++ b/src/gateway/engine_protocol.h
@@ -1,7 +1,7 @@
-// How requests are written to engines and their answers read.
+// Serializes requests to engines and parses their responses.
 //
-// The names of the header fields are data: the product's own are the defaults,
-// a platform's adapter supplies others.
+// Header field and JSON member names are configurable: the defaults are this project's own, a platform adapter supplies
+// others.
 #pragma once
 
 #include <optional>
@@ -19,33 +19,33 @@
   std::string deadline_ms = "Saltquay-Deadline-Ms";
   std::string last_event_id = "Last-Event-Id";
   std::string model = "Saltquay-Model";
-  std::string token_counts = "Saltquay-Tokens";        // Prompt and most output, by a comma.
-  std::string prompt_parts = "Saltquay-Prompt-Parts";  // ID:TOKENS by commas.
+  std::string token_counts = "Saltquay-Tokens";        // PROMPT,MAX_OUTPUT
+  std::string prompt_parts = "Saltquay-Prompt-Parts";  // ID:TOKENS,...
   std::string expected_engine = "Saltquay-Expect-Engine";
   std::string priority = "Saltquay-Priority";
   std::string stage = "Saltquay-Stage";
   std::string stage_prefill = "prefill";
   std::string stage_decode = "decode";
   std::string kv_source = "Saltquay-Memory-Source";
-  std::string copy_source = "Saltquay-Copy-Source";  // Engine that keeps shared parts of the prompt.
-  std::string api_key = "Saltquay-Api-Key";          // Of the caller.
-  std::string tenant = "Saltquay-Tenant";            // Told to engines in place of the key.
+  std::string copy_source = "Saltquay-Copy-Source";  // Engine that has shared parts of the prompt in its cache.
+  std::string api_key = "Saltquay-Api-Key";          // The client's.
+  std::string tenant = "Saltquay-Tenant";            // Sent to engines instead of the API key.
   std::string signature = "Saltquay-Signature";
   std::string not_executed = "Saltquay-Not-Executed";
-  std::string load = "Saltquay-Load";      // Running, waiting, slots.
-  std::string handle_member = "handle";    // Of the JSON answer to a prefill.
-  std::string release_path = "/handles/";  // DELETE it with a handle behind.
-  // Orders to engines, and what engines say of themselves.
+  std::string load = "Saltquay-Load";      // RUNNING,WAITING,SLOTS
+  std::string handle_member = "handle";    // In the JSON response to a prefill.
+  std::string release_path = "/handles/";  // DELETE /handles/HANDLE
+  // Orders to engines, and the state that engines report.
   std::string order_path = "/orders";
   std::string report_path = "/state";
   std::string operation_member = "operation";
-  std::string stage_member = "stage";  // Also the word of the operation.
+  std::string stage_member = "stage";  // Also the value of the operation member.
   std::string holder_member = "holder";
   std::string token_member = "fencing_token";
   std::string expected_sequence_member = "expected_sequence";
   std::string sequence_member = "sequence";
   std::string busy_member = "busy";
-  // Fields that only this system may set, and those that are for it alone: never passed on from a client.
+  // Fields that only the gateway may set or that are meant only for it: never forwarded from a client.
   std::vector<std::string> system_fields = {"Saltquay-Expect-Engine", "Saltquay-Priority",    "Saltquay-Stage",
                                             "Saltquay-Memory-Source", "Saltquay-Copy-Source", "Saltquay-Api-Key",
                                             "Saltquay-Tenant"};
@@ -55,20 +55,20 @@
  public:
   explicit EngineProtocol(EngineProtocolFields names) : names_(std::move(names)) {}
 
-  // Reads what the core needs to know of a client's request.
+  // Extracts the request attributes that the serving core needs.
   serving::RequestMetadata DecodeRequest(const http::RequestHead& head) const;
-  // The client's head as it goes to the engine of `attempt`.
+  // Returns the client's request head rewritten for the engine of `attempt`.
   http::RequestHead MakeRequest(const http::RequestHead& client, const serving::StartAttempt& attempt) const;
   serving::EngineResponseHead DecodeResponse(const http::ResponseHead& head) const;
-  // Returns whether the answer is to the request of that id.
-  bool Answers(const http::ResponseHead& head, std::string_view request_id) const;
-  // The handle in the body of a prefill's answer; empty where there is none.
+  // Returns whether the response belongs to the request with that id. A response without an id is accepted.
+  bool IsResponseTo(const http::ResponseHead& head, std::string_view request_id) const;
+  // Returns the KV cache handle from the body of a prefill response; empty if there is none.
   std::string DecodeKvHandle(const std::string& body) const;
   http::RequestHead MakeKvRelease(const serving::KvCacheSource& memory) const;
 
   http::RequestHead MakeStateRead(const serving::ReadEngineState& action) const;
-  // Nothing for a body that does not decode.
-  std::optional<serving::EngineStateReport> ReadState(const std::string& body) const;
+  // Returns nullopt if the body does not decode.
+  std::optional<serving::EngineStateReport> DecodeEngineState(const std::string& body) const;
   http::RequestHead MakeOrderHead(const serving::SendStageOrder& action) const;
   std::string MakeOrderBody(const serving::SendStageOrder& action, const std::string& holder) const;
 
--- a/src/gateway/event_splitter.cc
+++ b/src/gateway/event_splitter.cc
@@ -6,7 +6,7 @@
 namespace saltquay::gateway {
 namespace {
 
-// Returns the end of the last whole event: behind an empty line.
+// Returns the offset behind the empty line that terminates the last complete event.
 std::size_t EndOfLastEvent(std::string_view text) {
   const std::size_t plain = text.rfind("\n\n");
   const std::size_t with_return = text.rfind("\r\n\r\n");
@@ -20,10 +20,10 @@
 std::string EventSplitter::Feed(std::string_view bytes) {
   rest_ += bytes;
   const std::size_t end = EndOfLastEvent(rest_);
-  std::string whole = rest_.substr(0, end);
+  std::string complete = rest_.substr(0, end);
   rest_.erase(0, end);
-  RecordEventIds(whole);
-  return whole;
+  RecordEventIds(complete);
+  return complete;
 }
 
 std::string EventSplitter::TakeIncompleteEvent() { return std::exchange(rest_, {}); }
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -1,7 +1,7 @@
-// Splits an event stream (text/event-stream) into whole events.
+// Splits an event stream (text/event-stream) at event boundaries.
 //
-// An engine may stop in the middle of an event; only whole events go to the
-// client, so that another engine can go on after the last one.
+// An engine may fail in the middle of an event. Only complete events are forwarded to the client, so that another
+// engine can resume the stream after the last one.
 #pragma once
 
 #include <string>
@@ -11,11 +11,11 @@
 
 class EventSplitter {
  public:
-  // Adds bytes; returns those of all events that are whole now.
+  // Appends received bytes; returns the bytes of all events that are now complete.
   std::string Feed(std::string_view bytes);
-  // Returns and forgets the bytes of an event that is not whole.
+  // Returns the bytes of a trailing incomplete event and removes them from the buffer.
   std::string TakeIncompleteEvent();
-  // The id of the last whole event; empty before the first that has one.
+  // Id of the last complete event that had one; empty if there was none yet.
   const std::string& last_event_id() const { return last_event_id_; }
 
  private:
--- a/src/gateway/fleet_coordinator.cc
+++ b/src/gateway/fleet_coordinator.cc
@@ -7,24 +7,24 @@
 namespace saltquay::gateway {
 namespace {
 
-constexpr std::chrono::milliseconds kTick{100};
-// News go out in two or three rounds, for datagrams may be lost.
-constexpr std::chrono::milliseconds kNewsRepeated{900};
-constexpr std::chrono::milliseconds kDigestNewsRepeated{600};
-// A report names so many peers at most: its size must not grow with the fleet.
+constexpr std::chrono::milliseconds kTickInterval{100};
+// Cache updates are repeated in two or three report rounds, since datagrams may be lost.
+constexpr std::chrono::milliseconds kCacheUpdateRepeatTime{900};
+constexpr std::chrono::milliseconds kDigestCacheUpdateRepeatTime{600};
+// Maximum number of peers listed in a report, so that its size does not grow with the fleet.
 constexpr std::size_t kMaxListedPeers = 24;
-// A node's first reports are answered at once: it knows few others.
+// The first reports of a node are answered immediately with a full report, since it knows few other nodes.
 constexpr std::uint64_t kIntroductionReports = 3;
-// Nodes that were not named for so long, and two more rounds of the listing, are taken for lost.
-constexpr Duration kNamedLately = 1500ms;
-// Digests come each tenth of a second: with none for so long, this node is cut off.
-constexpr Duration kOutOfTouch = 500ms;
-// The same in a small fleet, where each node reports to each every 400 ms.
-constexpr Duration kHeardLately = 1s;
-// The lease is renewed while it is still good for an order and its way.
+// A node that was not listed by any peer for this long, plus two full cycles of the peer listing, counts as lost.
+constexpr Duration kListedTimeout = 1500ms;
+// Digests arrive every 100 ms; a node that receives none for this long is cut off from the fleet.
+constexpr Duration kDigestTimeout = 500ms;
+// The same for a small fleet, where every node reports to every other one each 400 ms.
+constexpr Duration kReportTimeout = 1s;
+// The lease is renewed while it still covers an order and its transmission time.
 constexpr Duration kLeaseMargin = 400ms;
-// Between two lines of the log that sum up what was sent: a line costs nothing beside a second's requests.
-constexpr Duration kTrafficLog = 10s;
+// Interval between log lines that summarize traffic; their cost is negligible next to a second's requests.
+constexpr Duration kTrafficLogInterval = 10s;
 
 serving::FleetExchangeParameters DigestParameters() {
   serving::FleetExchangeParameters parameters;
@@ -60,22 +60,24 @@
       fleet_(DigestParameters(),
              serving::PeerNode{settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps, false},
              gateway.core().selector().topology()),
-      boot_(static_cast<std::uint64_t>(UnixMilliseconds())),
+      incarnation_(static_cast<std::uint64_t>(UnixMilliseconds())),
       lease_(settings.node_name, settings.peer_listen, LeaseTimes(settings), seed, gateway.Now()),
       lease_client_(gateway, store, lease_),
       roles_(RoleParameters(settings), lease_, gateway.core().selector().topology(), gateway.Now()),
-      duties_(settings, gateway, store, duty_api, lease_, boot_),
+      duties_(settings, gateway, store, duty_api, lease_, incarnation_),
       quarantine_(gateway, store, !settings.first_start, seed + 1),
       timer_(loop) {
-  gateway.on_tell_crashes = [this] { ReportCrashes(); };
+  gateway.on_report_crashes = [this] { ReportCrashes(); };
   gateway.on_send_limit_messages = [this](const serving::SendLimitMessages& action) { SendLimitMessageBatch(action); };
-  gateway.on_run_began = [this](const serving::ExecutionStarted& run) { duties_.OnRunBegan(run); };
+  gateway.on_execution_started = [this](const serving::ExecutionStarted& execution) {
+    duties_.OnExecutionStarted(execution);
+  };
 }
 
 absl::Status FleetCoordinator::Start() {
   Tick();
   if (settings_.peer_listen.empty()) {
-    DispatchPeersChanged({});  // It is alone, and knows it.
+    DispatchPeersChanged({});  // Without a peer address this node runs alone: there are no peers.
     return absl::OkStatus();
   }
   PeerExchangeOptions options;
@@ -109,19 +111,20 @@
   const bool in_digests = fleet_.View(now) != nullptr;
   report.node = settings_.node_name;
   report.address = settings_.peer_listen;
-  report.boot = boot_;
+  report.boot = incarnation_;
   report.sequence = ++sequence_;
   report.stopping = stopping_;
   report.work = gateway_.core().OwnWork(now);
   report.demand = OwnDemand();
   report.holds = roles_.Holds(now);
-  report.kept = gateway_.core().selector().CacheUpdatesSince(now - (in_digests ? kDigestNewsRepeated : kNewsRepeated));
+  report.kept = gateway_.core().selector().CacheUpdatesSince(
+      now - (in_digests ? kDigestCacheUpdateRepeatTime : kCacheUpdateRepeatTime));
   report.crashes = gateway_.core().crashes().MarksToReport(now);
   report.peers = peers_.NextPeersToMention(kMaxListedPeers);
   report.zone = settings_.zone;
   report.link_mbps = settings_.link_mbps;
   report.records = store_.marks();
-  if (duties_.any()) {
+  if (duties_.is_enabled()) {
     report.lease = LocalLeaseMark();
     report.wall_ms = UnixMilliseconds();
   }
@@ -139,7 +142,7 @@
     for (const limits::LimitMessage& message : report.limits) gateway_.Dispatch(serving::LimitMessageArrived{message});
     return;
   }
-  // Whoever tells it and however late: marks add up in any order.
+  // Crash marks are merged regardless of sender and delay; their order does not matter.
   if (!report.crashes.empty()) gateway_.Dispatch(serving::PeerCrashesReported{report.crashes});
   duties_.OnClock(report);
   MergeLeaseMark(report.lease);
@@ -154,29 +157,29 @@
   if (peers_.Count() != before) {
     gateway_.Log(EventId::kMemberAlive, "",
                  fmt::format(R"("node":"{}","nodes":{})", EscapeJson(report.node), peers_.Count()));
-    if (report.sequence <= kIntroductionReports) exchange_->Greet(report.address);
+    if (report.sequence <= kIntroductionReports) exchange_->SendFullReport(report.address);
   }
-  // What digests tell is whole and newer.
+  // While digests arrive, their contents are more complete and more recent than single reports.
   if (fleet_.View(now) == nullptr) DispatchPeersChanged(report.kept);
 }
 
 void FleetCoordinator::OnRejectedReport(const absl::Status& cause, const std::string& sender) {
-  constexpr std::size_t kMostSenders = 64;
-  if (rejected_senders_.size() >= kMostSenders || !rejected_senders_.insert(sender).second) return;
+  constexpr std::size_t kMaxSenders = 64;
+  if (rejected_senders_.size() >= kMaxSenders || !rejected_senders_.insert(sender).second) return;
   gateway_.Log(EventId::kPeerDataRefused, "",
                fmt::format(R"("sender":"{}","cause":"{}")", EscapeJson(sender), EscapeJson(MessageOf(cause))));
 }
 
-// Addresses are asked for with each datagram; the table of peers is searched once for each.
+// Called for every datagram sent, so the result of the search through the peer table is cached by address.
 TrafficLocality FleetCoordinator::LocalityOf(const std::string& address) {
-  constexpr std::size_t kMostAddresses = 4096;  // Nodes that are replaced come back at others.
+  constexpr std::size_t kMaxAddresses = 4096;  // Bounds the cache: replaced nodes get new addresses.
   const auto known = peer_localities_.find(address);
   if (known != peer_localities_.end()) return known->second;
   const std::vector<serving::PeerNode> nodes = peers_.Nodes();
   const auto peer =
       std::find_if(nodes.begin(), nodes.end(), [&](const serving::PeerNode& node) { return node.address == address; });
   if (peer == nodes.end()) return TrafficLocality::kOtherRegion;
-  if (peer_localities_.size() >= kMostAddresses) peer_localities_.clear();
+  if (peer_localities_.size() >= kMaxAddresses) peer_localities_.clear();
   return peer_localities_[address] = gateway_.traffic().LocalityOf(peer->zone);
 }
 
@@ -184,7 +187,7 @@
   const Time now = gateway_.Now();
   if (now < next_traffic_log_) return;
   if (next_traffic_log_ != Time{}) gateway_.Log(EventId::kTrafficSummary, "", gateway_.traffic().Summary());
-  next_traffic_log_ = now + kTrafficLog;
+  next_traffic_log_ = now + kTrafficLogInterval;
 }
 
 void FleetCoordinator::DispatchPeersChanged(const std::vector<serving::KeptPart>& kept) {
@@ -204,16 +207,16 @@
   const Time now = gateway_.Now();
   const std::size_t known = peers_.Nodes().size();
   const bool large = fleet_.IsLarge(peers_.Nodes());
-  // A node that is lost ceases to be named; the others are named again each time the listing goes round.
+  // A lost node is no longer listed by its peers; every other node is listed once per cycle of the peer listing.
   const Duration listing = DigestParameters().interval * static_cast<int>(known / kMaxListedPeers + 1);
   serving::NodesChanged changed;
-  for (const serving::PeerNode& peer : peers_.RecentNodes(now, kNamedLately + 2 * listing)) {
+  for (const serving::PeerNode& peer : peers_.RecentNodes(now, kListedTimeout + 2 * listing)) {
     changed.nodes.push_back({peer.node, peer.address, peer.zone, peer.link_mbps});
   }
   if (large) {
-    changed.reach = {fleet_.Reach(now, kOutOfTouch), kOutOfTouch};
+    changed.reach = {fleet_.Reach(now, kDigestTimeout), kDigestTimeout};
   } else {
-    changed.reach = {peers_.CountHeard(now, kHeardLately), kHeardLately};
+    changed.reach = {peers_.CountHeard(now, kReportTimeout), kReportTimeout};
   }
   gateway_.Dispatch(changed);
 }
@@ -273,12 +276,12 @@
   store_.update_peers(Members(), marks);
 }
 
-// Frozen, suspended or starved of its processor: whatever it believes is as old as that.
+// Detects that the process was suspended or starved of CPU time: its state is outdated by the length of the gap.
 void FleetCoordinator::DetectStall() {
-  constexpr Duration kStoodStill = 1s;
+  constexpr Duration kStallThreshold = 1s;
   const Time now = gateway_.Now();
   const Duration gap = now - last_tick_;
-  if (last_tick_ != Time{} && gap > kStoodStill) {
+  if (last_tick_ != Time{} && gap > kStallThreshold) {
     gateway_.Log(EventId::kNodeStoodStill, "", fmt::format(R"("for_ms":{})", gap.count() / 1000));
   }
   last_tick_ = now;
@@ -288,7 +291,7 @@
   DetectStall();
   const int before = peers_.Count();
   peers_.Expire(gateway_.Now());
-  // While digests come, rounds are rare and most nodes are known through others only.
+  // While digests arrive, report rounds are rare and most nodes are known only from other nodes' listings.
   if (peers_.Count() != before && fleet_.View(gateway_.Now()) == nullptr) {
     gateway_.Log(EventId::kMemberDead, "", fmt::format(R"("nodes":{})", peers_.Count()));
     DispatchPeersChanged({});
@@ -303,7 +306,7 @@
   if (config && settings_.changes_roles) {
     std::vector<serving::RoleAction> actions;
     roles_.OnTick(gateway_.Now(), IsCandidate(members), *config, demand, gateway_.core().engines(), actions);
-    Carry(actions);
+    Perform(actions);
   }
   duties_.Tick(members, demand.ByService(), [this](const std::vector<serving::FleetMessage>& messages) {
     if (exchange_ != nullptr) exchange_->Send(messages);
@@ -312,27 +315,28 @@
   quarantine_.Step();
   LogTraffic();
   gateway_.metrics().SetLeader(lease_.IsHeldFor(gateway_.Now()));
-  timer_.expires_after(kTick);
+  timer_.expires_after(kTickInterval);
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) Tick();
   });
 }
 
-// Where there are duties, who holds the lease also plans the engines' roles; elsewhere the lease is only taken for
-// orders, by one node that all agree on.
+// With platform duties, the lease holder also plans engine roles. Without them, one node on which all nodes agree
+// (the one with the smallest name) plans, and the lease is taken only for the duration of orders.
 bool FleetCoordinator::IsCandidate(const std::vector<serving::PeerNode>& members) {
   const bool may_plan = !stopping_ && store_connected_ && gateway_.core().ready();
   if (!may_plan) return false;
-  return duties_.any() ? lease_.IsHeldFor(gateway_.Now()) : peers_.HasLowestName(members);
+  return duties_.is_enabled() ? lease_.IsHeldFor(gateway_.Now()) : peers_.HasLowestName(members);
 }
 
 void FleetCoordinator::RunLease() {
   const Time now = gateway_.Now();
-  if (!duties_.any()) {
+  if (!duties_.is_enabled()) {
     if (lease_.wanted(now)) lease_client_.Step(kLeaseMargin, 0);
     return;
   }
-  // Who hears no peers gets no counts from them: in a fleet of many, it leaves the duties to others.
+  // A node that receives no digests gets no usage counts from its peers: in a large fleet it leaves the lease to
+  // others.
   const bool hears_peers = !fleet_.IsLarge(peers_.Nodes()) || fleet_.View(now) != nullptr;
   if (!stopping_ && store_connected_ && hears_peers) lease_client_.Step(kLeaseMargin, duties_.own_rank());
 }
--- a/src/gateway/fleet_coordinator.h
+++ b/src/gateway/fleet_coordinator.h
@@ -1,6 +1,6 @@
-// What nodes do together: reports between peers, and role changes of engines
-// and duties toward the platform under one lease. Drives PeerTable and RoleController with sockets
-// and the store; see src/core/serving for the protocols.
+// Coordinates the nodes of the fleet: exchanges reports between peers, and performs role changes of engines and the
+// platform duties under one lease. Connects the protocols of src/core/serving (PeerTable, FleetExchange,
+// RoleController) to sockets and the store.
 #pragma once
 
 #include <map>
@@ -27,48 +27,48 @@
                    Gateway& gateway, replica::RelayedStore& store, DutyApi* duty_api, std::uint64_t seed);
 
   absl::Status Start();
-  // This node stops: it plans no more, and tells its peers.
+  // Called when this node begins to stop: it stops planning, resigns the lease and notifies its peers.
   void StartStopping();
-  void set_store_connected(bool in_contact) { store_connected_ = in_contact; }
+  void set_store_connected(bool connected) { store_connected_ = connected; }
 
  private:
   void FillReport(serving::PeerReport& report);
   void OnReport(const serving::PeerReport& report);
   void OnRejectedReport(const absl::Status& cause, const std::string& sender);
-  // `kept`: news of a report.
+  // Passes the current peer state to the serving core. `kept`: cache updates from a report.
   void DispatchPeersChanged(const std::vector<serving::KeptPart>& kept);
-  // Tells the core which nodes are there, where tenants have limits.
+  // Passes the list of live nodes to the serving core, if any tenant has a limit.
   void DispatchNodesChanged();
   void SendLimitMessageBatch(const serving::SendLimitMessages& action);
-  // What the peers' own reports add up to, and what the fleet's digest says.
+  // Fill `changed` from the peers' own reports, or from the fleet digest.
   void AddPeerReports(serving::PeersChanged& changed);
   void AddFleetDigest(serving::PeersChanged& changed, const serving::PeerReport& digest);
   void Tick();
   void DetectStall();
-  // The round of reports and digests of a large fleet.
+  // Runs the periodic exchange of reports and digests that a large fleet uses.
   void ExchangeDigests();
   void ExchangeDigestsImmediately();
-  // Sends what this node knows of requests under which engines ended.
+  // Sends the crash marks that this node holds: requests that were running when engines crashed.
   void ReportCrashes();
   void UpdateStorePeers();
-  // How far away the peer at that address is.
+  // Locality of the peer at `address`.
   TrafficLocality LocalityOf(const std::string& address);
   void LogTraffic();
-  // Nodes that count as members: heard, in a large fleet also those that others named.
+  // Live members: peers that reported themselves; in a large fleet also those listed in other nodes' reports.
   std::vector<serving::PeerNode> Members() const;
-  // What this node's callers ask, and what those of all nodes do.
+  // Demand of this node's clients, and of the clients of all nodes.
   std::vector<serving::ServiceDemand> OwnDemand();
   serving::DemandSum TotalDemand();
-  // Whether this node may be the one that acts for all.
+  // Whether this node may plan engine roles for the fleet.
   bool IsCandidate(const std::vector<serving::PeerNode>& members);
   void RunLease();
   serving::LeaseMark LocalLeaseMark() const;
   void MergeLeaseMark(const serving::LeaseMark& mark);
-  void Carry(const std::vector<serving::RoleAction>& actions);
-  void CarryOne(const serving::ReadEngineState& action);
-  void CarryOne(const serving::SendStageOrder& action);
-  void CarryOne(const serving::AnnounceHolds& action);
-  void CarryOne(const serving::LogRole& action);
+  void Perform(const std::vector<serving::RoleAction>& actions);
+  void PerformOne(const serving::ReadEngineState& action);
+  void PerformOne(const serving::SendStageOrder& action);
+  void PerformOne(const serving::AnnounceHolds& action);
+  void PerformOne(const serving::LogRole& action);
   void CallEngine(const std::string& address, const std::string& engine_id, const http::RequestHead& head,
                   const std::string& body, fetch::Fetcher::Handler done);
 
@@ -80,7 +80,7 @@
   fetch::Fetcher fetcher_;
   serving::PeerTable peers_;
   serving::FleetExchange fleet_;
-  std::uint64_t boot_;  // When this life began; orders it among this node's lives.
+  std::uint64_t incarnation_;  // Start time of this process; orders the incarnations of this node.
   serving::DutyLease lease_;
   LeaseClient lease_client_;
   serving::RoleController roles_;
--- a/src/gateway/fleet_coordinator_roles.cc
+++ b/src/gateway/fleet_coordinator_roles.cc
@@ -1,12 +1,11 @@
-// Carries out what the planner of roles decides: reads engines' states, sends
-// orders, announces holds.
+// Performs the actions of the role controller: reads engine states, sends role change orders, announces holds.
 #include "src/gateway/fleet_coordinator.h"
 
 namespace saltquay::gateway {
 namespace {
 
 constexpr std::chrono::milliseconds kEngineCallTimeout{600};
-constexpr std::chrono::milliseconds kEngineConnect{200};
+constexpr std::chrono::milliseconds kEngineConnectTimeout{200};
 constexpr int kOk = 200;
 constexpr int kAccepted = 202;
 constexpr int kConflict = 409;
@@ -23,47 +22,47 @@
 
 }  // namespace
 
-void FleetCoordinator::Carry(const std::vector<serving::RoleAction>& actions) {
+void FleetCoordinator::Perform(const std::vector<serving::RoleAction>& actions) {
   for (const serving::RoleAction& action : actions) {
-    std::visit([this](const auto& typed) { CarryOne(typed); }, action);
+    std::visit([this](const auto& typed) { PerformOne(typed); }, action);
   }
 }
 
-void FleetCoordinator::CarryOne(const serving::ReadEngineState& action) {
+void FleetCoordinator::PerformOne(const serving::ReadEngineState& action) {
   CallEngine(action.address, action.engine_id, protocol_.MakeStateRead(action), "",
              [this, id = action.engine_id](const absl::StatusOr<fetch::Reply>& reply) {
                std::vector<serving::RoleAction> actions;
                const bool read = reply.ok() && reply->status == kOk;
-               const auto report = read ? protocol_.ReadState(reply->body) : std::nullopt;
+               const auto report = read ? protocol_.DecodeEngineState(reply->body) : std::nullopt;
                roles_.OnEngineStateRead(gateway_.Now(), id, report, gateway_.core().engines(), actions);
-               Carry(actions);
+               Perform(actions);
              });
 }
 
-void FleetCoordinator::CarryOne(const serving::SendStageOrder& action) {
+void FleetCoordinator::PerformOne(const serving::SendStageOrder& action) {
   CallEngine(action.address, action.engine_id, protocol_.MakeOrderHead(action),
              protocol_.MakeOrderBody(action, settings_.node_name),
              [this, id = action.engine_id](const absl::StatusOr<fetch::Reply>& reply) {
                std::vector<serving::RoleAction> actions;
                roles_.OnOrderAnswered(gateway_.Now(), id, ToOutcome(reply), gateway_.core().engines(), actions);
-               Carry(actions);
+               Perform(actions);
              });
 }
 
-void FleetCoordinator::CarryOne(const serving::AnnounceHolds& /*action*/) {
+void FleetCoordinator::PerformOne(const serving::AnnounceHolds& /*action*/) {
   if (exchange_ != nullptr) exchange_->SendReportNow();
   ExchangeDigestsImmediately();
   DispatchPeersChanged({});
 }
 
-void FleetCoordinator::CarryOne(const serving::LogRole& action) { gateway_.Log(action.event, "", action.details); }
+void FleetCoordinator::PerformOne(const serving::LogRole& action) { gateway_.Log(action.event, "", action.details); }
 
 void FleetCoordinator::CallEngine(const std::string& address, const std::string& engine_id,
                                   const http::RequestHead& head, const std::string& body,
                                   fetch::Fetcher::Handler done) {
   fetch::Options options;
   options.pool = address + "#" + engine_id;
-  options.connect_timeout = kEngineConnect;
+  options.connect_timeout = kEngineConnectTimeout;
   options.timeout = kEngineCallTimeout;
   fetcher_.fetch(address, head, body, options, std::move(done));
 }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kFlushInterval{20};
-constexpr std::chrono::milliseconds kReleaseConnect{200};
+constexpr std::chrono::milliseconds kReleaseConnectTimeout{200};
 
 std::string ModeName(serving::AttemptMode mode) {
   if (mode == serving::AttemptMode::kPrefill) return "prefill";
@@ -28,7 +28,7 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
 }
 
-// "address#engine": a kept connection never serves another engine's requests.
+// Connection pool key "address#engine": a kept-alive connection is never reused for another engine at the same address.
 std::string PoolOf(const std::string& address, const std::string& engine) { return address + "#" + engine; }
 
 }  // namespace
@@ -52,10 +52,10 @@
       timer_(loop),
       flush_timer_(loop) {
   const limits::LimiterNode self{settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps};
-  const auto boot = static_cast<std::uint64_t>(UnixMilliseconds());
+  const auto incarnation = static_cast<std::uint64_t>(UnixMilliseconds());
   const bool alone = settings.peer_listen.empty();
   if (!settings.first_start) core_.BeginAfterRestart(Now());
-  core_.set_limiter(limits::make_distributed_limiter(self, boot, alone, settings.limit_tolerance, Now()));
+  core_.set_limiter(limits::make_distributed_limiter(self, incarnation, alone, settings.limit_tolerance, Now()));
 }
 
 Gateway::~Gateway() = default;
@@ -64,10 +64,10 @@
 
 void Gateway::Log(EventId event, std::string_view request_id, std::string_view members) {
   log_.Write(UnixMilliseconds(), event, request_id, members);
-  ScheduleFlush();
+  ScheduleLogFlush();
 }
 
-void Gateway::ScheduleFlush() {
+void Gateway::ScheduleLogFlush() {
   if (flush_scheduled_) return;
   flush_scheduled_ = true;
   flush_timer_.expires_after(kFlushInterval);
@@ -75,7 +75,7 @@
     if (error) return;
     flush_scheduled_ = false;
     log_.Flush();
-    if (!log_.empty()) ScheduleFlush();
+    if (!log_.empty()) ScheduleLogFlush();
   });
 }
 
@@ -83,7 +83,7 @@
   std::vector<serving::Action> actions;
   core_.OnEvent(Now(), event, actions);
   for (const serving::Action& action : actions) {
-    std::visit([this](const auto& typed) { Carry(typed); }, action);
+    std::visit([this](const auto& typed) { Perform(typed); }, action);
   }
   ArmTimer();
 }
@@ -129,7 +129,7 @@
   exchange->Respond(head, "");
 }
 
-void Gateway::Carry(const serving::StartAttempt& action) {
+void Gateway::Perform(const serving::StartAttempt& action) {
   const auto flow = flows_.find(action.flow);
   const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(action.address);
   ActiveAttempt& attempt = attempts_[action.attempt];
@@ -148,9 +148,9 @@
   options.on_new_connection = action.on_new_connection;
   std::string bytes = http::SerializeRequest(protocol_.MakeRequest(exchange.head, action), exchange.body);
   if (const serving::EngineState* engine = core_.engines().Find(action.engine_id)) {
-    attempt.reach = traffic_.LocalityOf(engine->record.zone);
+    attempt.locality = traffic_.LocalityOf(engine->record.zone);
   }
-  traffic_.Count(TrafficKind::kRequest, attempt.reach, bytes.size());
+  traffic_.Count(TrafficKind::kRequest, attempt.locality, bytes.size());
   attempt.call = client_.Start(*endpoint, PoolOf(action.address, action.engine_id), std::move(bytes), options,
                                MakeHandlers(action.attempt));
 }
@@ -159,7 +159,7 @@
   http::CallHandlers handlers;
   handlers.accepts = [this, id](const http::ResponseHead& head) {
     const auto attempt = attempts_.find(id);
-    return attempt != attempts_.end() && protocol_.Answers(head, attempt->second.request_id);
+    return attempt != attempts_.end() && protocol_.IsResponseTo(head, attempt->second.request_id);
   };
   handlers.on_head = [this, id](const http::ResponseHead& head) { OnHead(id, head); };
   handlers.on_body = [this, id](std::string_view bytes) { OnBody(id, bytes); };
@@ -179,20 +179,20 @@
 void Gateway::OnBody(serving::AttemptId id, std::string_view bytes) {
   const auto entry = attempts_.find(id);
   if (entry == attempts_.end()) return;
-  traffic_.Count(TrafficKind::kAnswer, entry->second.reach, bytes.size());
-  if (entry->second.relays) return RelayEvents(id, entry->second, bytes);
+  traffic_.Count(TrafficKind::kResponse, entry->second.locality, bytes.size());
+  if (entry->second.relaying) return RelayEvents(id, entry->second, bytes);
   entry->second.body += bytes;
 }
 
 void Gateway::RelayEvents(serving::AttemptId id, ActiveAttempt& attempt, std::string_view bytes) {
-  const std::string whole = attempt.events.Feed(bytes);
+  const std::string complete = attempt.events.Feed(bytes);
   const auto flow = flows_.find(attempt.flow);
-  if (whole.empty() || flow == flows_.end()) return;
+  if (complete.empty() || flow == flows_.end()) return;
   if (!flow->second.first_event_sent) {
     flow->second.first_event_sent = true;
     metrics_.ObserveFirstEvent(ToSeconds(Now() - flow->second.arrived));
   }
-  flow->second.exchange->Write(whole);
+  flow->second.exchange->Write(complete);
   Dispatch(serving::AttemptEventsReceived{attempt.flow, id, attempt.events.last_event_id()});
 }
 
@@ -201,8 +201,8 @@
   if (entry == attempts_.end()) return;
   ActiveAttempt& attempt = entry->second;
   const auto flow = flows_.find(attempt.flow);
-  // Bytes after the last whole event belong to the answer when it came whole.
-  if (attempt.relays && flow != flows_.end()) flow->second.exchange->Write(attempt.events.TakeIncompleteEvent());
+  // In a complete response, the bytes after the last complete event belong to the response.
+  if (attempt.relaying && flow != flows_.end()) flow->second.exchange->Write(attempt.events.TakeIncompleteEvent());
   metrics_.CountAttempt(ModeName(attempt.mode), std::to_string(attempt.head.status));
   serving::AttemptCompleted completed{attempt.flow, id, ""};
   if (attempt.mode == serving::AttemptMode::kPrefill) completed.handle = protocol_.DecodeKvHandle(attempt.body);
@@ -219,13 +219,13 @@
   Dispatch(serving::AttemptFailed{flow, id, ToAttemptFailure(failure)});
 }
 
-void Gateway::Carry(const serving::CancelAttempt& action) { attempts_.erase(action.attempt); }
+void Gateway::Perform(const serving::CancelAttempt& action) { attempts_.erase(action.attempt); }
 
-void Gateway::Carry(const serving::DropIdleConnections& action) {
+void Gateway::Perform(const serving::DropIdleConnections& action) {
   client_.ForgetPool(PoolOf(action.address, action.engine_id));
 }
 
-void Gateway::Carry(const serving::RelayResponse& action) {
+void Gateway::Perform(const serving::RelayResponse& action) {
   const auto attempt = attempts_.find(action.attempt);
   const auto flow = flows_.find(action.flow);
   if (attempt == attempts_.end() || flow == flows_.end()) return;
@@ -233,23 +233,23 @@
   EndFlow(action.flow, attempt->second.head.status);
 }
 
-void Gateway::Carry(const serving::BeginRelay& action) {
+void Gateway::Perform(const serving::BeginRelay& action) {
   const auto attempt = attempts_.find(action.attempt);
   const auto flow = flows_.find(action.flow);
   if (attempt == attempts_.end() || flow == flows_.end()) return;
-  attempt->second.relays = true;
+  attempt->second.relaying = true;
   if (!flow->second.head_sent) flow->second.exchange->BeginStream(attempt->second.head);
   flow->second.head_sent = true;
 }
 
-void Gateway::Carry(const serving::EndRelay& action) {
+void Gateway::Perform(const serving::EndRelay& action) {
   const auto flow = flows_.find(action.flow);
   if (flow == flows_.end()) return;
   flow->second.exchange->EndStream();
   EndFlow(action.flow, 200);
 }
 
-void Gateway::Carry(const serving::SendLocalReply& action) {
+void Gateway::Perform(const serving::SendLocalReply& action) {
   const auto flow = flows_.find(action.flow);
   if (flow == flows_.end()) return;
   http::ResponseHead head;
@@ -263,7 +263,7 @@
   EndFlow(action.flow, action.status);
 }
 
-void Gateway::Carry(const serving::AbortResponse& action) {
+void Gateway::Perform(const serving::AbortResponse& action) {
   const auto flow = flows_.find(action.flow);
   if (flow == flows_.end()) return;
   flow->second.exchange->Abort();
@@ -271,7 +271,7 @@
   EndFlow(action.flow, 0);
 }
 
-void Gateway::Carry(const serving::ReleaseKvCache& action) {
+void Gateway::Perform(const serving::ReleaseKvCache& action) {
   const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(action.memory.address);
   if (!endpoint.ok()) return;
   const std::uint64_t id = ++last_release_;
@@ -280,37 +280,37 @@
   handlers.on_complete = finish;
   handlers.on_failure = [finish](http::CallFailure /*failure*/) { finish(); };
   http::CallOptions options;
-  options.connect_timeout = kReleaseConnect;
+  options.connect_timeout = kReleaseConnectTimeout;
   releases_[id] = client_.Start(*endpoint, PoolOf(action.memory.address, action.memory.engine_id),
                                 http::SerializeRequest(protocol_.MakeKvRelease(action.memory), ""), options, handlers);
 }
 
-void Gateway::Carry(const serving::ExecutionStarted& action) {
-  if (on_run_began) on_run_began(action);
+void Gateway::Perform(const serving::ExecutionStarted& action) {
+  if (on_execution_started) on_execution_started(action);
 }
 
-void Gateway::Carry(const serving::ExtraArrivalCounted& action) {
+void Gateway::Perform(const serving::ExtraArrivalCounted& action) {
   metrics_.CountExtraArrival(action.service, std::string(serving::NameOf(action.cause)));
 }
 
-void Gateway::Carry(const serving::ProbeEngine& action) {
+void Gateway::Perform(const serving::ProbeEngine& action) {
   probe_.Check(action.address, [this, id = action.engine_id](serving::EngineProbeOutcome outcome) {
     Dispatch(serving::EngineProbed{id, outcome});
   });
 }
 
-// Reports are filled from the core: it has to have come to the end of its event.
-void Gateway::Carry(const serving::ReportCrashes& /*action*/) {
+// Posted rather than called directly: the reports read the core's state, and the core is still processing an event.
+void Gateway::Perform(const serving::ReportCrashes& /*action*/) {
   boost::asio::post(loop_, [this] {
-    if (on_tell_crashes) on_tell_crashes();
+    if (on_report_crashes) on_report_crashes();
   });
 }
 
-void Gateway::Carry(const serving::SendLimitMessages& action) {
+void Gateway::Perform(const serving::SendLimitMessages& action) {
   if (on_send_limit_messages) on_send_limit_messages(action);
 }
 
-void Gateway::Carry(const serving::LogDecision& action) {
+void Gateway::Perform(const serving::LogDecision& action) {
   if (action.event == EventId::kEngineEnded) metrics_.CountEngineEnd();
   Log(action.event, action.request_id, action.details);
 }
@@ -320,7 +320,7 @@
   if (flow == flows_.end()) return;
   metrics_.CountRequest(status);
   metrics_.ObserveResponse(ToSeconds(Now() - flow->second.arrived));
-  // The handler may be what runs now; it must outlive this call.
+  // The on_client_left handler may be executing now and must not be destroyed before this call returns.
   boost::asio::post(loop_, [exchange = std::move(flow->second.exchange)] { exchange->on_client_left = nullptr; });
   flows_.erase(flow);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,7 +1,7 @@
-// The gateway: drives the serving core over HTTP on one event loop.
+// Runs the serving core over HTTP on one event loop.
 //
-// It holds the bytes (client exchanges, engine calls, buffered answers) and
-// carries out what the core decides; it decides nothing itself.
+// The gateway owns all I/O state (client exchanges, engine calls, buffered responses) and performs the actions that the
+// core returns. All routing and retry decisions are made in the core.
 #pragma once
 
 #include <functional>
@@ -29,19 +29,19 @@
           std::uint64_t seed);
   ~Gateway();
 
-  // Feeds the core an event and carries out its actions.
+  // Passes an event to the core and performs the resulting actions.
   void Dispatch(const serving::Event& event);
   void Handle(const std::shared_ptr<http::Exchange>& exchange);
-  // Refuses a request of which the core knows nothing; it has not run. `retry_after`: seconds.
+  // Responds 503 to a request that was never passed to the core, so it has not run. `retry_after`: seconds.
   void RefuseUndispatched(const std::shared_ptr<http::Exchange>& exchange, std::string_view cause,
                           std::string_view retry_after);
 
-  // Runs when a tenant's request has begun to run.
-  std::function<void(const serving::ExecutionStarted&)> on_run_began;
-  // Sends messages of tenants' limits to other nodes.
+  // Called when a tenant's request has started to run.
+  std::function<void(const serving::ExecutionStarted&)> on_execution_started;
+  // Called to send tenant limit messages to other nodes.
   std::function<void(const serving::SendLimitMessages&)> on_send_limit_messages;
-  // Runs when the peers are to be told of requests under which engines ended.
-  std::function<void()> on_tell_crashes;
+  // Called when the peers have to be notified of new crash marks.
+  std::function<void()> on_report_crashes;
 
   serving::ServingCore& core() { return core_; }
   GatewayMetrics& metrics() { return metrics_; }
@@ -66,26 +66,26 @@
     http::ResponseHead head;
     std::string body;
     bool streams = false;
-    bool relays = false;
-    TrafficLocality reach = TrafficLocality::kZone;  // Of its engine.
+    bool relaying = false;
+    TrafficLocality locality = TrafficLocality::kZone;  // Of the engine.
     EventSplitter events;
   };
 
-  void Carry(const serving::StartAttempt& action);
-  void Carry(const serving::CancelAttempt& action);
-  void Carry(const serving::DropIdleConnections& action);
-  void Carry(const serving::RelayResponse& action);
-  void Carry(const serving::BeginRelay& action);
-  void Carry(const serving::EndRelay& action);
-  void Carry(const serving::SendLocalReply& action);
-  void Carry(const serving::AbortResponse& action);
-  void Carry(const serving::ReleaseKvCache& action);
-  void Carry(const serving::ExecutionStarted& action);
-  void Carry(const serving::ExtraArrivalCounted& action);
-  void Carry(const serving::ProbeEngine& action);
-  void Carry(const serving::ReportCrashes& action);
-  void Carry(const serving::SendLimitMessages& action);
-  void Carry(const serving::LogDecision& action);
+  void Perform(const serving::StartAttempt& action);
+  void Perform(const serving::CancelAttempt& action);
+  void Perform(const serving::DropIdleConnections& action);
+  void Perform(const serving::RelayResponse& action);
+  void Perform(const serving::BeginRelay& action);
+  void Perform(const serving::EndRelay& action);
+  void Perform(const serving::SendLocalReply& action);
+  void Perform(const serving::AbortResponse& action);
+  void Perform(const serving::ReleaseKvCache& action);
+  void Perform(const serving::ExecutionStarted& action);
+  void Perform(const serving::ExtraArrivalCounted& action);
+  void Perform(const serving::ProbeEngine& action);
+  void Perform(const serving::ReportCrashes& action);
+  void Perform(const serving::SendLimitMessages& action);
+  void Perform(const serving::LogDecision& action);
 
   http::CallHandlers MakeHandlers(serving::AttemptId id);
   void OnHead(serving::AttemptId id, const http::ResponseHead& head);
@@ -95,7 +95,7 @@
   void RelayEvents(serving::AttemptId id, ActiveAttempt& attempt, std::string_view bytes);
   void EndFlow(serving::FlowId id, int status);
   void ArmTimer();
-  void ScheduleFlush();
+  void ScheduleLogFlush();
 
   boost::asio::io_context& loop_;
   EngineProtocol protocol_;
@@ -117,7 +117,7 @@
   serving::FlowId last_flow_ = 0;
 };
 
-// Milliseconds of the time of day, for log lines only.
+// Wall clock time in milliseconds since the Unix epoch. It may jump: use Gateway::Now() to measure durations.
 std::int64_t UnixMilliseconds();
 
 }  // namespace saltquay::gateway
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -1,4 +1,4 @@
-// Counters and latency histograms of a gateway, in Prometheus' text format.
+// Counters and latency histograms of a gateway, in the Prometheus text format.
 #pragma once
 
 #include <memory>
@@ -21,32 +21,31 @@
 
   void CountRequest(int status);
   void CountAttempt(const std::string& mode, const std::string& outcome);
-  // A call that counts against the service's retry budget, and why it does.
+  // Counts an engine call that is charged to the service's retry budget, by cause.
   void CountExtraArrival(const std::string& service, const std::string& cause);
   void CountAbortedStream() { aborted_streams_->Increment(); }
-  // `call`: list, watch, read or write; `cause`: why this node asked.
+  // `call`: list, watch, read or write; `cause`: why this node called the store.
   void CountStoreCall(const std::string& kind, const std::string& call, const std::string& cause);
   void ObserveResponse(double seconds) { response_seconds_->Observe(seconds); }
   void ObserveFirstEvent(double seconds) { first_event_seconds_->Observe(seconds); }
-  // How old the parts of a digest were, on average, when this node took it over.
+  // Mean age of the parts of a digest when this node applied it.
   void ObserveDigestAge(double seconds) { digest_age_seconds_->Observe(seconds); }
   void ObserveStoreCall(double seconds) { store_seconds_->Observe(seconds); }
   void SetState(double config_version, double engines, double open_requests, double log_dropped);
-  // Requests that are kept from engines now, and requests remembered because engines ended under them.
+  // `in_quarantine`: requests currently not sent to engines; `remembered`: entries in the crash ledger.
   void SetQuarantineCounts(double in_quarantine, double remembered);
   void CountEngineEnd() { engine_ends_->Increment(); }
-  // Takes over what was counted so far.
+  // Copies the totals of `traffic` into the counters.
   void SetTraffic(const TrafficMeter& traffic);
-  // Of tenants with a limit: those that were refused most have series of their own, the others are summed up.
+  // Exports the tenants with the most refused units as separate series and aggregates the others.
   void SetLimits(std::vector<limits::LimitStatus> limits);
   void SetLeader(bool leads) { leader_->Set(leads ? 1 : 0); }
-  // `clock_error_seconds`: this machine's clock against the fleet's.
+  // `clock_error_seconds`: offset of this machine's clock from the fleet's.
   void SetDuties(double sealed_window, double unsent_reports, double clock_error_seconds);
 
   std::string Text() const;
 
  private:
-  // Registers what tells a state, not a count.
   void RegisterGauges(const prometheus::Labels& labels);
 
   std::shared_ptr<prometheus::Registry> registry_;
@@ -56,7 +55,7 @@
   prometheus::Family<prometheus::Counter>* store_calls_;
   prometheus::Family<prometheus::Counter>* traffic_;
   prometheus::Family<prometheus::Gauge>* limit_units_;
-  std::vector<prometheus::Gauge*> limit_series_;  // Of the last call.
+  std::vector<prometheus::Gauge*> limit_series_;  // Registered by the last call of SetLimits.
   prometheus::Counter* aborted_streams_;
   prometheus::Counter* engine_ends_;
   prometheus::Histogram* response_seconds_;
--- a/src/gateway/gateway_process.cc
+++ b/src/gateway/gateway_process.cc
@@ -12,9 +12,9 @@
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-// Another node is ready: a caller that is refused by one that stops may come back at once.
-constexpr std::string_view kComeBackAfterStop = "0.05";
-constexpr std::chrono::milliseconds kStopStep{50};
+// Retry-After in seconds for requests refused by a stopping node. Other nodes are ready, so clients may retry at once.
+constexpr std::string_view kRetryAfterStop = "0.05";
+constexpr std::chrono::milliseconds kStopPollInterval{50};
 
 std::uint64_t RandomSeed() {
   std::random_device device;
@@ -33,10 +33,10 @@
   options.self = {settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps, false};
   options.regions = settings.parameters.regions;
   if (!settings.peer_listen.empty()) options.seeds = settings.peer_seeds;
-  // Nobody calls yet when the whole system starts for the first time: nodes get to know each other before they list.
-  // A node that comes back is missed, and lists at once.
-  constexpr std::chrono::milliseconds kFirstStartWait{1000};
-  if (settings.first_start && !settings.peer_listen.empty()) options.startup_peer_wait = kFirstStartWait;
+  // At the first start of the whole system there is no client traffic yet: nodes wait to discover each other before
+  // they list the store's objects. A restarted node has to serve clients again and lists immediately.
+  constexpr std::chrono::milliseconds kFirstStartDelay{1000};
+  if (settings.first_start && !settings.peer_listen.empty()) options.startup_peer_wait = kFirstStartDelay;
   return options;
 }
 
@@ -47,7 +47,7 @@
 }
 
 http::ServerLimits ServerLimitsFor(const serving::IngressLimits& limits) {
-  // A caller may begin a request just inside the published time.
+  // Tolerance for a client that sends its request just before the published timeout.
   constexpr std::chrono::milliseconds kMargin{500};
   http::ServerLimits server;
   server.parser.head_bytes = limits.head_bytes;
@@ -136,14 +136,14 @@
   config.on_event = [this](const ObjectEvent& event) {
     if (!event.gone) OnConfigObject(event.object);
   };
-  config.on_connectivity_changed = [this](bool in_contact, const std::string& cause) {
-    OnConnectivityChanged(parsers_.config_kind, in_contact, cause);
+  config.on_connectivity_changed = [this](bool connected, const std::string& cause) {
+    OnConnectivityChanged(parsers_.config_kind, connected, cause);
   };
   WatcherHandlers engines;
   engines.on_list = [this](const ObjectList& list) { OnEngineList(list); };
   engines.on_event = [this](const ObjectEvent& event) { OnEngineEvent(event); };
-  engines.on_connectivity_changed = [this](bool in_contact, const std::string& cause) {
-    OnConnectivityChanged(parsers_.engine_kind, in_contact, cause);
+  engines.on_connectivity_changed = [this](bool connected, const std::string& cause) {
+    OnConnectivityChanged(parsers_.engine_kind, connected, cause);
   };
   config_watcher_ = std::make_unique<CollectionWatcher>(loop_, store_, parsers_.config_kind, WatcherTimings{},
                                                         RandomSeed(), std::move(config));
@@ -176,7 +176,7 @@
 void GatewayProcess::OnEngineEvent(const ObjectEvent& event) {
   std::optional<serving::EngineRecord> record;
   if (!event.gone) record = ParseEngineRecord(event.object);
-  // What cannot be read names no engine to use; the next record that can brings it back.
+  // An engine whose record does not parse is removed; the next valid record adds it again.
   if (!record) return gateway_.Dispatch(serving::EngineRemoved{event.object.name});
   gateway_.Dispatch(serving::EngineChanged{*record});
 }
@@ -190,12 +190,12 @@
   return std::nullopt;
 }
 
-void GatewayProcess::OnConnectivityChanged(const std::string& kind, bool in_contact, const std::string& cause) {
-  gateway_.Log(in_contact ? EventId::kStoreRecovered : EventId::kStoreUnavailable, "",
+void GatewayProcess::OnConnectivityChanged(const std::string& kind, bool connected, const std::string& cause) {
+  gateway_.Log(connected ? EventId::kStoreRecovered : EventId::kStoreUnavailable, "",
                fmt::format(R"("kind":"{}","cause":"{}")", kind, EscapeJson(cause)));
 }
 
-// Whether the store is heard is told by what is known, not by an answer: a peer's may be old.
+// Store connectivity is derived from the freshness of the records, not from single responses: a peer's may be stale.
 void GatewayProcess::OnFreshnessChanged(const std::string& kind, const replica::ReplicaStatus& state) {
   gateway_.Log(state.fresh ? EventId::kRecordsFresh : EventId::kRecordsStale, "",
                fmt::format(R"("kind":"{}","age_ms":{},"revision":{},"upstream":"{}")", kind, state.age.count() / 1000,
@@ -207,8 +207,8 @@
 
 void GatewayProcess::HandleReadyRequest(const std::shared_ptr<http::Exchange>& exchange) {
   const bool ready = gateway_.core().ready() && !stopping_;
-  if (ready != was_ready_) {
-    was_ready_ = ready;
+  if (ready != last_ready_) {
+    last_ready_ = ready;
     if (ready) gateway_.Log(EventId::kNodeReady, "", fmt::format(R"("version":{})", gateway_.core().version()));
   }
   Answer(exchange, ready ? kOk : kUnavailable, ready ? "ready\n" : "not ready\n");
@@ -263,34 +263,34 @@
   gateway_.Log(EventId::kNodeStopping, "", fmt::format(R"("open_requests":{})", gateway_.open_requests()));
   client_server_->StartClosing();
   coordinator_.StartStopping();
-  ContinueStop();
+  ContinueStopping();
 }
 
-std::chrono::milliseconds GatewayProcess::SinceStop() const {
+std::chrono::milliseconds GatewayProcess::TimeSinceStop() const {
   const auto elapsed = BootClock::now() - stop_began_;
   return std::chrono::duration_cast<std::chrono::milliseconds>(elapsed);
 }
 
 void GatewayProcess::HandleClientRequest(const std::shared_ptr<http::Exchange>& exchange) {
-  if (!stopping_ || StopSchedule(settings_.grace).Serves(SinceStop())) return gateway_.Handle(exchange);
-  gateway_.RefuseUndispatched(exchange, "this node stops", kComeBackAfterStop);
+  if (!stopping_ || StopSchedule(settings_.grace).ServesRequests(TimeSinceStop())) return gateway_.Handle(exchange);
+  gateway_.RefuseUndispatched(exchange, "this node is stopping", kRetryAfterStop);
 }
 
-void GatewayProcess::ContinueStop() {
+void GatewayProcess::ContinueStopping() {
   const StopSchedule schedule(settings_.grace);
-  const std::chrono::milliseconds elapsed = SinceStop();
-  const bool moved_away = !schedule.Accepts(elapsed);
-  if (moved_away) client_server_->StopAccepting();
-  const bool finished = moved_away && gateway_.open_requests() == 0 && client_server_->open_connections() == 0;
-  if (finished || schedule.Ends(elapsed)) {
+  const std::chrono::milliseconds elapsed = TimeSinceStop();
+  const bool accepting_ended = !schedule.AcceptsConnections(elapsed);
+  if (accepting_ended) client_server_->StopAccepting();
+  const bool finished = accepting_ended && gateway_.open_requests() == 0 && client_server_->open_connections() == 0;
+  if (finished || schedule.MustExit(elapsed)) {
     gateway_.Log(EventId::kNodeStopped, "", fmt::format(R"("open_requests":{})", gateway_.open_requests()));
     log_.Flush();
     loop_.stop();
     return;
   }
-  stop_timer_.expires_after(kStopStep);
+  stop_timer_.expires_after(kStopPollInterval);
   stop_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) ContinueStop();
+    if (!error) ContinueStopping();
   });
 }
 
--- a/src/gateway/gateway_process.h
+++ b/src/gateway/gateway_process.h
@@ -1,10 +1,11 @@
-// One gateway process: servers, watchers, signals and the order of a stop.
+// A gateway process: HTTP servers, store watchers, signal handling and graceful shutdown.
 //
-// Lifecycle: starting (no configuration or engines yet: /ready says 503 and
-// requests are refused with a time to come back), serving, stopping (from
-// SIGTERM: not ready at once, requests go on being served while callers move
-// away, then idle connections are closed and what is under way is finished),
-// ended. SIGHUP reads the settings again.
+// Lifecycle:
+// - Starting: no configuration or engines yet; /ready responds 503 and requests are refused with Retry-After.
+// - Serving.
+// - Stopping, from SIGTERM: /ready responds 503 immediately. Requests are still served while clients are moved to other
+//   nodes; then idle connections are closed and requests in progress are finished.
+// SIGHUP reloads the settings.
 #pragma once
 
 #include <functional>
@@ -24,7 +25,7 @@
 
 namespace saltquay::gateway {
 
-// Turns the platform's objects into the product's types.
+// Names of the platform's store objects and parsers for their contents.
 struct RecordParsers {
   std::string config_kind;
   std::string config_name;
@@ -35,12 +36,13 @@
 
 class GatewayProcess {
  public:
-  // `settings_path` is read again on SIGHUP; empty: never. `duty_api`: nullptr where the platform asks for no duties.
+  // `settings_path` is reloaded on SIGHUP; empty disables reloading. `duty_api`: nullptr if the platform requires no
+  // duties.
   GatewayProcess(boost::asio::io_context& loop, const GatewaySettings& settings, std::string settings_path,
                  const EngineProtocol& protocol, RecordParsers codec, ObjectStore& store, DutyApi* duty_api = nullptr);
   ~GatewayProcess();
 
-  // Binds the addresses and starts watching. Errors name the remedy.
+  // Binds the addresses and starts watching the store. Errors say how to fix the cause.
   absl::Status Start();
   // Runs until the process has stopped.
   void Run();
@@ -53,16 +55,16 @@
   void OnConfigObject(const StoredObject& object);
   void OnEngineList(const ObjectList& list);
   void OnEngineEvent(const ObjectEvent& event);
-  // Nothing where the record cannot be read, which is logged.
+  // Logs a record that does not parse and returns nullopt.
   std::optional<serving::EngineRecord> ParseEngineRecord(const StoredObject& object);
   void OnFreshnessChanged(const std::string& kind, const replica::ReplicaStatus& state);
-  void OnConnectivityChanged(const std::string& kind, bool in_contact, const std::string& cause);
+  void OnConnectivityChanged(const std::string& kind, bool connected, const std::string& cause);
   void WaitForSignal();
   void Reload();
   void StartStopping();
-  void ContinueStop();
-  std::chrono::milliseconds SinceStop() const;
-  // Serves a client's request, or refuses it where this process may end before it.
+  void ContinueStopping();
+  std::chrono::milliseconds TimeSinceStop() const;
+  // Serves a client's request, or refuses it if this process may exit before the request finishes.
   void HandleClientRequest(const std::shared_ptr<http::Exchange>& exchange);
   void HandleReadyRequest(const std::shared_ptr<http::Exchange>& exchange);
   void HandleMetricsRequest(const std::shared_ptr<http::Exchange>& exchange);
@@ -84,7 +86,7 @@
   boost::asio::signal_set signals_;
   BootTimer stop_timer_;
   bool stopping_ = false;
-  bool was_ready_ = false;
+  bool last_ready_ = false;
   BootClock::time_point stop_began_;
 };
 
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -11,7 +11,7 @@
 namespace saltquay::gateway {
 namespace {
 
-constexpr std::int64_t kMostMilliseconds = 3600 * 1000;
+constexpr std::int64_t kMaxMilliseconds = 3600 * 1000;
 
 std::string ReadAddress(ConfigReader& table, const char* key, const std::optional<std::string>& fallback) {
   std::string text = table.String(key, fallback);
@@ -24,10 +24,10 @@
 
 std::chrono::milliseconds ReadMilliseconds(ConfigReader& table, const char* key, std::int64_t fallback) {
   return std::chrono::milliseconds(
-      static_cast<std::int64_t>(table.Number(key, 0, kMostMilliseconds, static_cast<double>(fallback))));
+      static_cast<std::int64_t>(table.Number(key, 0, kMaxMilliseconds, static_cast<double>(fallback))));
 }
 
-serving::SelectionPolicy ReadPolicy(ConfigReader& table) {
+serving::SelectionPolicy ReadSelectionPolicy(ConfigReader& table) {
   const std::string text = table.String("selection", "cost");
   if (text == "round_robin") return serving::SelectionPolicy::kRoundRobin;
   if (text == "least_outstanding") return serving::SelectionPolicy::kLeastOutstanding;
@@ -37,7 +37,7 @@
   return serving::SelectionPolicy::kCost;
 }
 
-admission::QueuePolicy ReadOrder(ConfigReader& table) {
+admission::QueuePolicy ReadPrefillOrder(ConfigReader& table) {
   const std::string text = table.String("reading_order", "worth");
   if (text == "none") return admission::QueuePolicy::None;
   if (text == "first_come") return admission::QueuePolicy::FirstComeFirstServed;
@@ -48,9 +48,9 @@
 }
 
 void ReadPolicies(ConfigReader& policy, GatewaySettings& settings) {
-  settings.parameters.policy = ReadPolicy(policy);
+  settings.parameters.policy = ReadSelectionPolicy(policy);
   settings.changes_roles = policy.Boolean("change_roles", true);
-  settings.parameters.prefill_order = ReadOrder(policy);
+  settings.parameters.prefill_order = ReadPrefillOrder(policy);
   settings.parameters.sheds_load = policy.Boolean("refuse_excess", true);
   settings.parameters.allows_overflow = policy.Boolean("overflow", true);
   settings.parameters.copies_prefix_parts = policy.Boolean("copy_parts", true);
@@ -67,19 +67,19 @@
 
 void ReadBounds(ConfigReader& bounds, GatewaySettings& settings) {
   constexpr double kMillisecondsPerSecond = 1000;
-  constexpr double kMostSlack = 1e6;
+  constexpr double kMaxSlack = 1e6;
   settings.grace = std::chrono::milliseconds(
       static_cast<std::int64_t>(bounds.Number("grace_s", 0, 3600, 8) * kMillisecondsPerSecond));
   settings.lease = ReadMilliseconds(bounds, "lease_ms", 3000);
   serving::RetryBudgetBounds& budget = settings.parameters.retry_budget;
   budget.ratio = bounds.Number("retry_budget_ratio", 0, 10, 0.2);
-  budget.slack = bounds.Number("retry_budget_slack", 0, kMostSlack, 0);
+  budget.slack = bounds.Number("retry_budget_slack", 0, kMaxSlack, 0);
   budget.window = FromSeconds(bounds.Number("retry_window_s", 0.1, 3600, 10));
-  constexpr double kMostUnits = 1e15;
+  constexpr double kMaxUnits = 1e15;
   limits::LimitTolerance& tolerance = settings.limit_tolerance;
   tolerance.window = FromSeconds(bounds.Number("limit_window_s", 0.1, 3600, ToSeconds(tolerance.window)));
   tolerance.overage = bounds.Number("limit_overage", 0, 10, tolerance.overage);
-  tolerance.slack = static_cast<std::int64_t>(bounds.Number("limit_slack", 0, kMostUnits, 0));
+  tolerance.slack = static_cast<std::int64_t>(bounds.Number("limit_slack", 0, kMaxUnits, 0));
 }
 
 std::map<std::string, std::string, std::less<>> ReadRegions(ConfigReader& root) {
@@ -112,7 +112,7 @@
   parameters.failure_allowance = table.Number("failing_share", 0, 0.9, parameters.failure_allowance);
   parameters.on_demand_share = table.Number("ordinary_share", 0, 1, parameters.on_demand_share);
   parameters.cold_start_factor = table.Number("cold_factor", 1, 10, parameters.cold_start_factor);
-  // Engines stay as they are, whatever the platform asks for.
+  // Overrides the platform: the number of engines is never changed.
   if (!table.Boolean("order_engines", true)) settings.duties.orders_engines = false;
 }
 
@@ -122,7 +122,7 @@
   absl::StatusOr<ConfigReader> parsed = ConfigReader::Parse(text, source, ErrorKind::kInvalidSetting);
   if (!parsed.ok()) return parsed.status();
   ConfigReader root = *parsed;
-  constexpr double kMostLinkMbps = 10e6;
+  constexpr double kMaxLinkMbps = 10e6;
   GatewaySettings settings;
   settings.node_name = root.String("node_name", std::nullopt);
   settings.zone = root.String("zone", std::nullopt);
@@ -132,7 +132,7 @@
   settings.peer_listen = ReadAddress(root, "peer_listen", "");
   settings.peer_seeds = root.Strings("peer_seeds");
   settings.store_address = ReadAddress(root, "store_address", std::nullopt);
-  settings.link_mbps = static_cast<int>(root.Number("link_mbps", 0, kMostLinkMbps, 0));
+  settings.link_mbps = static_cast<int>(root.Number("link_mbps", 0, kMaxLinkMbps, 0));
   settings.fingerprint_key = root.String("fingerprint_key", "");
   settings.first_start = root.Boolean("first_start", false);
   settings.log_lines_per_second = static_cast<int>(root.Integer("log_lines_per_second", 1, 1000000, 2000));
--- a/src/gateway/leader_duties.cc
+++ b/src/gateway/leader_duties.cc
@@ -12,17 +12,17 @@
 
 constexpr std::string_view kUsageKind = "saltquay-usage";
 constexpr std::string_view kUsageName = "reports";
-// What a call needs of the lease: its way to the platform.
-constexpr Duration kCallTime = 200ms;
-// A count that changed is told in three messages in a row, for datagrams may be lost.
-constexpr Duration kChangeTold = 300ms;
-constexpr Duration kFullInterval = 1s;
-// About 3 KB: two frames.
-constexpr std::size_t kCountsInMessage = 120;
-// After a window's end a node may still learn of a request that began in it: answers take some tens of milliseconds.
-constexpr std::chrono::milliseconds kStragglers{500};
-// Windows before the present one for which counts are kept: until the latest holder has reported them.
-constexpr std::int64_t kKeptWindows = 8;
+// Minimum remaining lease time for a call to the platform, to cover its transmission.
+constexpr Duration kMinCallTime = 200ms;
+// A changed count is repeated for this long (three consecutive messages), since datagrams may be lost.
+constexpr Duration kChangeRepeatTime = 300ms;
+constexpr Duration kFullSendInterval = 1s;
+// About 3 KB: two Ethernet frames.
+constexpr std::size_t kMaxCountsPerMessage = 120;
+// After the end of a window a node may still learn of requests that started in it: responses take tens of milliseconds.
+constexpr std::chrono::milliseconds kLateRequestMargin{500};
+// Number of past windows whose counts are retained, so that a new lease holder can still report them.
+constexpr std::int64_t kRetainedWindows = 8;
 
 std::string_view OutcomeName(duties::DutyOutcome outcome) {
   switch (outcome) {
@@ -47,27 +47,27 @@
 }  // namespace
 
 LeaderDuties::LeaderDuties(const GatewaySettings& settings, Gateway& gateway, ObjectStore& store, DutyApi* api,
-                           serving::DutyLease& lease, std::uint64_t boot)
+                           serving::DutyLease& lease, std::uint64_t incarnation)
     : settings_(settings),
       gateway_(gateway),
       store_(store),
       api_(api),
       lease_(lease),
       self_{settings.node_name, settings.peer_listen, settings.zone, settings.link_mbps, false},
-      boot_(boot),
+      incarnation_(incarnation),
       windows_(settings.duties.report_window),
       counter_(windows_),
-      table_(duties::UsageAggregatorParameters{}, gateway.Now()),
+      aggregator_(duties::UsageAggregatorParameters{}, gateway.Now()),
       reporter_(duties::UsageReporterParameters{}, windows_),
       capacity_(CapacityPlannerParameters(settings)) {}
 
-void LeaderDuties::OnRunBegan(const serving::ExecutionStarted& run) {
-  if (!any() || run.tenant.empty()) return;
-  counter_.note(run.tenant, clock_.at(run.began), gateway_.Now());
+void LeaderDuties::OnExecutionStarted(const serving::ExecutionStarted& execution) {
+  if (!is_enabled() || execution.tenant.empty()) return;
+  counter_.note(execution.tenant, clock_.at(execution.began), gateway_.Now());
 }
 
 void LeaderDuties::OnUsage(const serving::PeerReport& report) {
-  table_.note(report, gateway_.Now());
+  aggregator_.note(report, gateway_.Now());
   OnClock(report);
 }
 
@@ -77,12 +77,13 @@
   }
 }
 
-// Who would take the lease next: the widest links first, the same order on all nodes that know the same ones.
-void LeaderDuties::Rank(const std::vector<serving::PeerNode>& members) {
+// Determines which node would acquire the lease next: highest link bandwidth first. Nodes with the same membership view
+// compute the same order.
+void LeaderDuties::UpdateRank(const std::vector<serving::PeerNode>& members) {
   const std::vector<serving::RankedNode> ranked = serving::RankNodes(self_, members);
-  const auto own =
+  const auto self =
       std::find_if(ranked.begin(), ranked.end(), [&](const serving::RankedNode& node) { return node.node == &self_; });
-  own_rank_ = static_cast<int>(own - ranked.begin());
+  own_rank_ = static_cast<int>(self - ranked.begin());
   const std::string holder = lease_.known().holder;
   const auto next = std::find_if(ranked.begin(), ranked.end(),
                                  [&](const serving::RankedNode& node) { return node.node->node != holder; });
@@ -93,12 +94,12 @@
                         const std::map<std::string, serving::ServiceDemand>& demand, const SendMessages& send) {
   const Time now = gateway_.Now();
   clock_.record_own_clock(now, duties::WallTime(std::chrono::milliseconds(UnixMilliseconds())));
-  if (!any()) return;
-  Rank(members);
+  if (!is_enabled()) return;
+  UpdateRank(members);
   const std::int64_t window = windows_.number_at(clock_.at(now));
   if (first_window_ == 0) first_window_ = window;
-  counter_.forget_before(window - kKeptWindows);
-  table_.forget(now, window - kKeptWindows);
+  counter_.forget_before(window - kRetainedWindows);
+  aggregator_.forget(now, window - kRetainedWindows);
   if (settings_.duties.reports_usage) {
     SendUsageCounts(send);
     RunUsageReporter();
@@ -110,7 +111,7 @@
 }
 
 std::int64_t LeaderDuties::ClosedThrough() const {
-  return windows_.number_at(clock_.at(gateway_.Now()) - kStragglers) - 1;
+  return windows_.number_at(clock_.at(gateway_.Now()) - kLateRequestMargin) - 1;
 }
 
 std::vector<serving::PeerReport> LeaderDuties::LocalUsageReports(const std::vector<duties::UsageCount>& counts) const {
@@ -119,22 +120,22 @@
   report.scope = serving::ReportScope::kUsage;
   report.node = settings_.node_name;
   report.address = settings_.peer_listen;
-  report.boot = boot_;
+  report.boot = incarnation_;
   report.wall_ms = UnixMilliseconds();
   std::size_t first = 0;
   do {
-    const std::size_t last = std::min(counts.size(), first + kCountsInMessage);
+    const std::size_t last = std::min(counts.size(), first + kMaxCountsPerMessage);
     serving::PeerReport& part = reports.emplace_back(report);
     part.usage.assign(counts.begin() + static_cast<std::ptrdiff_t>(first),
                       counts.begin() + static_cast<std::ptrdiff_t>(last));
-    // Only the last message says that nothing is missing.
+    // Only the last message declares windows closed, i.e. that no counts are missing.
     part.closed_through = last < counts.size() ? 0 : ClosedThrough();
     first = last;
   } while (first < counts.size());
   return reports;
 }
 
-// The holder, and the first node that would take its place.
+// Addresses of the lease holder and of its first successor.
 std::vector<std::string> LeaderDuties::UsageReceivers() const {
   std::vector<std::string> addresses;
   const std::string holder = lease_.known().address;
@@ -147,22 +148,22 @@
   const Time now = gateway_.Now();
   const std::string holder = lease_.known().address;
   const bool new_holder = !holder.empty() && holder != last_synced_holder_;
-  const bool full = new_holder || now >= next_full_;
-  if (full) next_full_ = now + kFullInterval;
+  const bool full = new_holder || now >= next_full_send_;
+  if (full) next_full_send_ = now + kFullSendInterval;
   const std::vector<duties::UsageCount> counts =
-      full ? counter_.all() : counter_.counts_changed_since(now - kChangeTold);
+      full ? counter_.all() : counter_.counts_changed_since(now - kChangeRepeatTime);
   if (counts.empty() && !full) return;
   std::vector<serving::FleetMessage> messages;
   const std::vector<std::string> receivers = UsageReceivers();
   for (serving::PeerReport& report : LocalUsageReports(counts)) {
-    table_.note(report, now);
+    aggregator_.note(report, now);
     messages.push_back({receivers, std::move(report)});
   }
   if (new_holder) {
     last_synced_holder_ = holder;
-    // What this node heard of others may be all that is left of nodes that were killed.
+    // The counts received from other nodes may be the only remaining ones of nodes that were killed.
     if (holder != settings_.peer_listen) {
-      for (serving::PeerReport& report : table_.contributions(settings_.node_name, kCountsInMessage)) {
+      for (serving::PeerReport& report : aggregator_.contributions(settings_.node_name, kMaxCountsPerMessage)) {
         if (!report.usage.empty()) messages.push_back({{holder}, std::move(report)});
       }
     }
@@ -172,15 +173,15 @@
 
 void LeaderDuties::RunUsageReporter() {
   const Time now = gateway_.Now();
-  const bool holds = lease_.IsHeldFor(now, kCallTime);
+  const bool holds = lease_.IsHeldFor(now, kMinCallTime);
   const bool leads = lease_.IsHeldFor(now);
-  // Until it was the holder, only some nodes told it what they counted.
-  if (leads && !held_) table_.restart_collection(now);
-  held_ = leads;
+  // Before this node held the lease, it received counts from only some nodes: collect a new full set.
+  if (leads && !was_holder_) aggregator_.restart_collection(now);
+  was_holder_ = leads;
   duties::UsageActions actions;
-  reporter_.step(now, clock_.at(now), holds, lease_.token(), first_window_, table_, actions);
+  reporter_.step(now, clock_.at(now), holds, lease_.token(), first_window_, aggregator_, actions);
   for (const duties::UsageAction& action : actions) {
-    std::visit([this](const auto& typed) { Carry(typed); }, action);
+    std::visit([this](const auto& typed) { Perform(typed); }, action);
   }
 }
 
@@ -188,10 +189,10 @@
   const std::optional<serving::ServingConfig>& config = gateway_.core().config();
   if (!config || !gateway_.core().ready()) return;
   std::vector<duties::CapacityAction> actions;
-  capacity_.step(gateway_.Now(), lease_.IsHeldFor(gateway_.Now(), kCallTime), lease_.token(), *config, demand,
+  capacity_.step(gateway_.Now(), lease_.IsHeldFor(gateway_.Now(), kMinCallTime), lease_.token(), *config, demand,
                  gateway_.core().engines(), actions);
   for (const duties::CapacityAction& action : actions) {
-    std::visit([this](const auto& typed) { Carry(typed); }, action);
+    std::visit([this](const auto& typed) { Perform(typed); }, action);
   }
 }
 
@@ -200,7 +201,7 @@
                fmt::format(R"("call":"{}","cause":"{}")", call, EscapeJson(MessageOf(cause))));
 }
 
-void LeaderDuties::Carry(const duties::ReadSealedUsage& /*action*/) {
+void LeaderDuties::Perform(const duties::ReadSealedUsage& /*action*/) {
   store_.Read(std::string(kUsageKind), std::string(kUsageName), [this](const absl::StatusOr<StoredObject>& object) {
     const Time now = gateway_.Now();
     if (absl::IsNotFound(object.status())) return reporter_.on_read(now, duties::SealedUsage{});
@@ -212,7 +213,7 @@
   });
 }
 
-void LeaderDuties::Carry(const duties::WriteSealedUsage& action) {
+void LeaderDuties::Perform(const duties::WriteSealedUsage& action) {
   const StoredObject object{std::string(kUsageName), action.object.revision, EncodeSealedUsage(action.object)};
   store_.Write(std::string(kUsageKind), object, [this](const absl::StatusOr<StoredObject>& written) {
     const Time now = gateway_.Now();
@@ -222,7 +223,7 @@
   });
 }
 
-void LeaderDuties::Carry(const duties::SendUsageReport& action) {
+void LeaderDuties::Perform(const duties::SendUsageReport& action) {
   const std::int64_t token = lease_.token();
   api_->ReportUsage(Holder(), action.report, [this, token, window = action.report.window](duties::DutyOutcome outcome) {
     gateway_.Log(EventId::kUsageReported, "",
@@ -232,14 +233,14 @@
   });
 }
 
-void LeaderDuties::Carry(const duties::LogUsage& action) {
+void LeaderDuties::Perform(const duties::LogUsage& action) {
   gateway_.Log(
       action.event, "",
       fmt::format(R"("window":{},"requests":{},"tenants":{},"lives":{},"complete":{},"cause":"{}")", action.window,
-                  action.requests, action.tenants, table_.incarnation_count(), action.complete, action.cause));
+                  action.requests, action.tenants, aggregator_.incarnation_count(), action.complete, action.cause));
 }
 
-void LeaderDuties::Carry(const duties::ScalingOrder& order) {
+void LeaderDuties::Perform(const duties::ScalingOrder& order) {
   api_->OrderEngines(Holder(), order, [this, order, token = lease_.token()](duties::DutyOutcome outcome) {
     gateway_.Log(EventId::kEnginesOrdered, "",
                  fmt::format(R"("service":"{}","zone":"{}","engines":{},"spot":{},"token":{},"outcome":"{}")",
@@ -249,7 +250,7 @@
   });
 }
 
-void LeaderDuties::Carry(const duties::LogCapacity& action) { gateway_.Log(action.event, "", action.details); }
+void LeaderDuties::Perform(const duties::LogCapacity& action) { gateway_.Log(action.event, "", action.details); }
 
 void LeaderDuties::HandleOutcome(duties::DutyOutcome outcome) {
   if (outcome == duties::DutyOutcome::Fenced) lease_.OnFenced();
--- a/src/gateway/leader_duties.h
+++ b/src/gateway/leader_duties.h
@@ -1,7 +1,8 @@
-// What one node does for all, under the duties' lease: usage reports to the platform, and orders of engines.
+// Work that one node does on behalf of the fleet while it holds the duty lease: usage reports to the platform, and
+// scaling orders for engines.
 //
-// Every node counts its own requests by tenant and tells the holder of the lease and the node that would be the next
-// one. Drives the state machines of src/duties with the store, the platform's API and messages between peers.
+// Every node counts its own requests by tenant and sends the counts to the lease holder and to the node that would hold
+// the lease next. Connects the state machines of src/duties to the store, the platform's API and the peers.
 #pragma once
 
 #include <functional>
@@ -24,27 +25,29 @@
  public:
   using SendMessages = std::function<void(const std::vector<serving::FleetMessage>&)>;
 
-  // `api`: nullptr where the platform asks for no duties. `boot`: of this life, as its reports tell it.
+  // `api`: nullptr if the platform requires no duties. `incarnation`: of this process, as sent in its reports.
   LeaderDuties(const GatewaySettings& settings, Gateway& gateway, ObjectStore& store, DutyApi* api,
-               serving::DutyLease& lease, std::uint64_t boot);
+               serving::DutyLease& lease, std::uint64_t incarnation);
 
-  // Whether the lease is held all the time.
-  bool any() const { return api_ != nullptr && (settings_.duties.reports_usage || settings_.duties.orders_engines); }
+  // Whether the platform requires duties; the lease is then held continuously.
+  bool is_enabled() const {
+    return api_ != nullptr && (settings_.duties.reports_usage || settings_.duties.orders_engines);
+  }
 
-  // Call it each 100 ms. `members`: the other nodes that are known; `demand`: of all nodes, by service.
+  // To be called every 100 ms. `members`: the other live nodes; `demand`: total demand of all nodes by service.
   void Tick(const std::vector<serving::PeerNode>& members, const std::map<std::string, serving::ServiceDemand>& demand,
             const SendMessages& send);
-  // A tenant's request began to run.
-  void OnRunBegan(const serving::ExecutionStarted& run);
-  // A report of kind kUsage.
+  // Counts a tenant's request that started to run.
+  void OnExecutionStarted(const serving::ExecutionStarted& execution);
+  // Handles a report with scope kUsage.
   void OnUsage(const serving::PeerReport& report);
-  // Any other report: what the peer's clock says.
+  // Handles the wall clock time in any other report.
   void OnClock(const serving::PeerReport& report);
-  // How many nodes go before this one when the lease is to be taken; as of the last tick.
+  // Number of nodes that take precedence over this one in acquiring the lease, as of the last tick.
   int own_rank() const { return own_rank_; }
 
  private:
-  void Rank(const std::vector<serving::PeerNode>& members);
+  void UpdateRank(const std::vector<serving::PeerNode>& members);
   void SendUsageCounts(const SendMessages& send);
   std::vector<std::string> UsageReceivers() const;
   std::vector<serving::PeerReport> LocalUsageReports(const std::vector<duties::UsageCount>& counts) const;
@@ -52,14 +55,14 @@
   std::int64_t ClosedThrough() const;
   void RunUsageReporter();
   void RunCapacityController(const std::map<std::string, serving::ServiceDemand>& demand);
-  void Carry(const duties::ReadSealedUsage& action);
-  void Carry(const duties::WriteSealedUsage& action);
-  void Carry(const duties::SendUsageReport& action);
-  void Carry(const duties::LogUsage& action);
-  void Carry(const duties::ScalingOrder& order);
-  void Carry(const duties::LogCapacity& action);
+  void Perform(const duties::ReadSealedUsage& action);
+  void Perform(const duties::WriteSealedUsage& action);
+  void Perform(const duties::SendUsageReport& action);
+  void Perform(const duties::LogUsage& action);
+  void Perform(const duties::ScalingOrder& order);
+  void Perform(const duties::LogCapacity& action);
   DutyHolder Holder() const { return {settings_.node_name, lease_.token()}; }
-  // What an answer says of the lease.
+  // Marks the lease as lost if the platform responded that a newer fencing token exists.
   void HandleOutcome(duties::DutyOutcome outcome);
 
   GatewaySettings settings_;
@@ -68,19 +71,19 @@
   DutyApi* api_;
   serving::DutyLease& lease_;
   serving::PeerNode self_;
-  std::uint64_t boot_;
+  std::uint64_t incarnation_;
   duties::FleetClock clock_;
   duties::UsageWindows windows_;
   duties::UsageCounter counter_;
-  duties::UsageAggregator table_;
+  duties::UsageAggregator aggregator_;
   duties::UsageReporter reporter_;
   duties::CapacityController capacity_;
   std::int64_t first_window_ = 0;
   int own_rank_ = 0;
-  std::string next_holder_;         // Address of the node that would take the lease next; empty: this one.
-  std::string last_synced_holder_;  // Address to which everything was told since it holds the lease.
-  bool held_ = false;
-  Time next_full_{};
+  std::string next_holder_;         // Address of the node next in line for the lease; empty if it is this one.
+  std::string last_synced_holder_;  // Address of the last lease holder that was sent all usage counts.
+  bool was_holder_ = false;
+  Time next_full_send_{};
 };
 
 }  // namespace saltquay::gateway
--- a/src/gateway/lease_client.cc
+++ b/src/gateway/lease_client.cc
@@ -15,7 +15,7 @@
       .dump();
 }
 
-// A record that does not decode is somebody's all the same: it is waited out.
+// A record that does not decode is treated as a lease of an unknown holder, which has to expire first.
 serving::LeaseRecord DecodeLease(const StoredObject& object) {
   serving::LeaseRecord record;
   record.holder = "unreadable";
@@ -68,7 +68,7 @@
   const StoredObject object{std::string(kLeaseName), record->revision, EncodeLease(*record)};
   store_.Write(std::string(kLeaseKind), object, [this, done](const absl::StatusOr<StoredObject>& written) {
     if (written.ok()) lease_.OnResigned(written->revision, gateway_.Now());
-    const std::string cause = written.ok() ? "given up" : MessageOf(written.status());
+    const std::string cause = written.ok() ? "resigned" : MessageOf(written.status());
     gateway_.Log(EventId::kLeaseLost, "", fmt::format(R"("cause":"{}","settled":true)", EscapeJson(cause)));
     done();
   });
--- a/src/gateway/lease_client.h
+++ b/src/gateway/lease_client.h
@@ -1,4 +1,4 @@
-// Keeps the duties' lease in the store for the state machine that decides about it (core/serving/duty_lease.h).
+// Reads and writes the duty lease in the store on behalf of its state machine (src/core/serving/duty_lease.h).
 #pragma once
 
 #include <string>
@@ -14,9 +14,11 @@
   LeaseClient(Gateway& gateway, ObjectStore& store, serving::DutyLease& lease)
       : gateway_(gateway), store_(store), lease_(lease) {}
 
-  // Takes the next step, so that this node may act for `needed`. `rank`: see DutyLease::Next.
+  // Performs the next step to acquire or renew the lease, so that it stays valid for at least `needed`.
+  // `rank`: see DutyLease::Next.
   void Step(Duration needed, int rank);
-  // This node stops: others need not wait for its lease to run out. `done` runs once it is known, also at once.
+  // Resigns the lease when this node stops, so that others need not wait until it expires. `done` is called when the
+  // store has responded; not at all if this node does not hold the lease.
   void Resign(const std::function<void()>& done);
 
  private:
--- a/src/gateway/limit_codec.cc
+++ b/src/gateway/limit_codec.cc
@@ -7,12 +7,12 @@
 namespace saltquay::gateway {
 namespace {
 
-// On the wire: numbers are kept.
-enum class Kind : std::uint8_t { kAsk = 1, kAnswer = 2, kRefund = 3, kProbe = 4, kHandOver = 5 };
+// Message kinds on the wire: the values must not change.
+enum class Kind : std::uint8_t { kRequest = 1, kResponse = 2, kRefund = 3, kProbe = 4, kHandOver = 5 };
 
-// A message as the wire's table holds it.
+// The fields of a message as laid out in the FlatBuffers table.
 struct Fields {
-  Kind kind = Kind::kAsk;
+  Kind kind = Kind::kRequest;
   limits::ChargeId key;
   std::uint64_t tenant = 0;
   std::uint64_t peer = 0;
@@ -25,12 +25,19 @@
   int fleet = 0;
 };
 
-Fields ToFields(const limits::ChargeRequest& ask) {
-  return {Kind::kAsk,   ask.charge,   ask.tenant,  ask.unresponsive_owner, static_cast<double>(ask.cost), 0s,
-          ask.forwards, ask.declined, ask.reply_to};
+Fields ToFields(const limits::ChargeRequest& request) {
+  return {Kind::kRequest,
+          request.charge,
+          request.tenant,
+          request.unresponsive_owner,
+          static_cast<double>(request.cost),
+          0s,
+          request.forwards,
+          request.declined,
+          request.reply_to};
 }
-Fields ToFields(const limits::ChargeResponse& answer) {
-  return {Kind::kAnswer, answer.charge, 0, 0, 0, answer.retry_after, 0, answer.admitted, answer.owner};
+Fields ToFields(const limits::ChargeResponse& response) {
+  return {Kind::kResponse, response.charge, 0, 0, 0, response.retry_after, 0, response.admitted, response.owner};
 }
 Fields ToFields(const limits::ChargeRefund& refund) {
   return {Kind::kRefund, refund.charge, refund.tenant, 0, 0, 0s, 0, false, ""};
@@ -83,11 +90,11 @@
   const limits::ChargeId key{message.node(), message.number()};
   const std::string text = message.text() == nullptr ? "" : message.text()->str();
   switch (static_cast<Kind>(message.kind())) {
-    case Kind::kAsk:
+    case Kind::kRequest:
       return limits::ChargeRequest{key,           message.tenant(),   static_cast<std::int64_t>(message.amount()),
                                    text,          message.forwards(), message.peer(),
                                    message.flag()};
-    case Kind::kAnswer:
+    case Kind::kResponse:
       return limits::ChargeResponse{key, message.flag(), std::chrono::milliseconds(message.time_ms()), text};
     case Kind::kRefund:
       return limits::ChargeRefund{key, message.tenant()};
--- a/src/gateway/limit_codec.h
+++ b/src/gateway/limit_codec.h
@@ -1,4 +1,4 @@
-// Messages of tenants' limits in FlatBuffers, as a part of the peers' reports.
+// FlatBuffers encoding of tenant limit messages, which are part of peer reports.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 flatbuffers::Offset<flatbuffers::Vector<flatbuffers::Offset<wire::LimitMessage>>> LimitMessagesToWire(
     flatbuffers::FlatBufferBuilder& builder, const std::vector<limits::LimitMessage>& messages);
 
-// Nothing: a kind that this version does not know.
+// Returns nullopt for a message kind that this version does not know.
 std::optional<limits::LimitMessage> LimitMessageFromWire(const wire::LimitMessage& message);
 
 }  // namespace saltquay::gateway
--- a/src/gateway/log_explainer.cc
+++ b/src/gateway/log_explainer.cc
@@ -12,9 +12,9 @@
 
 using nlohmann::json;
 
-bool IsBelief(const LogLine& line) { return line.request.empty(); }
+bool IsEngineOrNodeState(const LogLine& line) { return line.request.empty(); }
 
-bool IsNodeBelief(const LogLine& line) {
+bool IsNodeState(const LogLine& line) {
   return line.name == "store_contact" || line.name == "config_in_force" || line.name == "node_ready" ||
          line.name == "node_stopping" || line.name == "record_upstream" || line.name == "records_stale" ||
          line.name == "records_fresh";
@@ -59,32 +59,32 @@
     const std::string engine = EngineOf(line);
     if (!engine.empty()) engines.insert({line.process, engine});
   }
-  std::map<std::string, std::size_t> last_belief;  // Subject -> its last line before the request's end.
+  std::map<std::string, std::size_t> last_state;  // Subject -> index of its last line before the end of the request.
   std::set<std::size_t> chosen;
   for (std::size_t i = 0; i < lines_.size(); ++i) {
     const LogLine& line = lines_[i];
     if (line.request == id) chosen.insert(i);
-    if (!IsBelief(line) || !nodes.contains(line.process) || line.time_ms > last_at[line.process]) continue;
+    if (!IsEngineOrNodeState(line) || !nodes.contains(line.process) || line.time_ms > last_at[line.process]) continue;
     const std::string engine = EngineOf(line);
     if (!engine.empty() && engines.contains({line.process, engine})) {
-      last_belief[line.process + " " + engine + " " + line.name] = i;
-    } else if (IsNodeBelief(line)) {
-      last_belief[line.process + " " + line.name] = i;
+      last_state[line.process + " " + engine + " " + line.name] = i;
+    } else if (IsNodeState(line)) {
+      last_state[line.process + " " + line.name] = i;
     }
   }
-  for (const auto& [subject, index] : last_belief) chosen.insert(index);
-  std::vector<LogLine> life;
-  life.reserve(chosen.size());
-  for (const std::size_t index : chosen) life.push_back(lines_[index]);
-  return life;
+  for (const auto& [subject, index] : last_state) chosen.insert(index);
+  std::vector<LogLine> selected;
+  selected.reserve(chosen.size());
+  for (const std::size_t index : chosen) selected.push_back(lines_[index]);
+  return selected;
 }
 
 std::vector<LogLine> LogExplainer::Engine(const std::string& id) const {
-  std::vector<LogLine> beliefs;
+  std::vector<LogLine> states;
   for (const LogLine& line : lines_) {
-    if (IsBelief(line) && EngineOf(line) == id) beliefs.push_back(line);
+    if (IsEngineOrNodeState(line) && EngineOf(line) == id) states.push_back(line);
   }
-  return beliefs;
+  return states;
 }
 
 std::vector<LogLine> LogExplainer::Fingerprint(const std::string& fingerprint) const {
@@ -97,13 +97,13 @@
 
 std::vector<LogLine> LogExplainer::UsageWindow(std::int64_t window) const {
   std::vector<LogLine> lines;
-  std::vector<LogLine> holders;  // Since the last line of the window.
+  std::vector<LogLine> holders;  // Lease changes since the last line about the window.
   for (const LogLine& line : lines_) {
     if (line.name == "lease_acquired" || line.name == "lease_lost") holders.push_back(line);
     if (!line.name.starts_with("usage_")) continue;
     const json members = json::parse(line.text, nullptr, false);
     if (!members.is_object() || members.value("window", std::int64_t{-1}) != window) continue;
-    // Before the first line only the last holder matters.
+    // Before the first line about the window, only the last lease change is relevant.
     const std::size_t first = lines.empty() && !holders.empty() ? holders.size() - 1 : 0;
     lines.insert(lines.end(), holders.begin() + static_cast<std::ptrdiff_t>(first), holders.end());
     holders.clear();
--- a/src/gateway/log_explainer.h
+++ b/src/gateway/log_explainer.h
@@ -1,5 +1,5 @@
-// Reads the logs of several nodes and tells one request's life, or what nodes
-// believed of one engine.
+// Merges the logs of several nodes and selects the lines that concern one request, engine, request fingerprint or usage
+// window.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,9 @@
 struct LogLine {
   std::int64_t time_ms = 0;
   std::string process;
-  std::string name;     // Of the event.
-  std::string request;  // Empty where none is concerned.
-  std::string text;     // The whole line.
+  std::string name;     // Name of the event.
+  std::string request;  // Request id; empty if the event concerns no request.
+  std::string text;     // The complete JSON text.
 };
 
 struct UnparsedLine {
@@ -24,20 +24,21 @@
 
 class LogExplainer {
  public:
-  // Adds the lines of one log. What is no event line is counted and skipped;
-  // text before the first brace is dropped.
+  // Adds the lines of one log. Lines that are not events are recorded in bad_lines() and skipped; text before the first
+  // brace is dropped.
   void Read(std::istream& log, const std::string& source);
 
-  // The request's lines in order of time, with what the same node had last
-  // noted of each engine that they name, of the store and of the configuration.
+  // The lines of a request in chronological order, with the last lines of the same nodes before the end of the request
+  // that report the state of each engine involved, of the store and of the configuration.
   std::vector<LogLine> Request(const std::string& id) const;
-  // All lines that name the engine and change what a node believes of it.
+  // All lines that name the engine and belong to no request, i.e. that report its state as seen by a node.
   std::vector<LogLine> Engine(const std::string& id) const;
 
-  // All lines of the requests with that fingerprint, and of engines that ended under one, on all nodes.
+  // All lines on all nodes with that request fingerprint, including those of engines that crashed while running
+  // such a request.
   std::vector<LogLine> Fingerprint(const std::string& fingerprint) const;
 
-  // What became of the usage report of that window, and who held the duties' lease before it.
+  // All lines about the usage report of that window, with the changes of the duty lease before and between them.
   std::vector<LogLine> UsageWindow(std::int64_t window) const;
 
   const std::vector<UnparsedLine>& unparsed_lines() const { return unparsed_lines_; }
@@ -47,7 +48,7 @@
   std::vector<UnparsedLine> unparsed_lines_;
 };
 
-// "time process event: details", for people.
+// Returns "time process event: details".
 std::string FormatLogLine(const LogLine& line);
 
 }  // namespace saltquay::gateway
--- a/src/gateway/object_store.h
+++ b/src/gateway/object_store.h
@@ -1,11 +1,11 @@
-// The platform's store of versioned objects, as the product sees it.
+// Interface to the platform's store of versioned objects.
 //
-// Callbacks run later on the loop's thread, exactly once. Errors:
-//   kUnavailable       refused or not reached; a write did not happen.
-//   kDeadlineExceeded  no answer; a write may have happened or may yet happen.
-//   kAborted           the condition does not hold (another write won).
-//   kOutOfRange        the history behind a watch is forgotten: list again.
-//   kNotFound          no such object.
+// Callbacks run asynchronously on the event loop's thread, exactly once. Errors:
+//   kUnavailable       The store refused the call or is unreachable; a write did not happen.
+//   kDeadlineExceeded  No response; a write may have happened or may still happen.
+//   kAborted           Revision conflict: another write succeeded first.
+//   kOutOfRange        The store no longer has the history since the watched revision: list again.
+//   kNotFound          The object does not exist.
 #pragma once
 
 #include <chrono>
@@ -26,7 +26,7 @@
 
 struct ObjectList {
   std::vector<StoredObject> items;
-  std::int64_t at = 0;  // The store's revision.
+  std::int64_t at = 0;  // Revision of the store as of this list.
 };
 
 struct ObjectEvent {
@@ -43,12 +43,12 @@
  public:
   virtual ~ObjectStore() = default;
 
-  // All objects of a kind, as of one moment or later.
+  // Lists all objects of a kind, as of revision `at` or later.
   virtual void List(const std::string& kind, std::function<void(absl::StatusOr<ObjectList>)> done) = 0;
-  // Changes after `revision`; waits at most `wait` for the first.
+  // Returns changes after `revision`; waits at most `wait` for the first one.
   virtual void Watch(const std::string& kind, std::int64_t revision, std::chrono::milliseconds wait,
                      std::function<void(absl::StatusOr<ObjectEvents>)> done) = 0;
-  // Creates the object (revision 0), or replaces it at that revision.
+  // Creates the object if its revision is 0; otherwise replaces it if the store still has that revision.
   virtual void Write(const std::string& kind, const StoredObject& object,
                      std::function<void(absl::StatusOr<StoredObject>)> done) = 0;
   virtual void Read(const std::string& kind, const std::string& name,
--- a/src/gateway/peer_codec.cc
+++ b/src/gateway/peer_codec.cc
@@ -19,7 +19,7 @@
   return static_cast<std::int32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
 
-// Counts that are larger than the wire's type say "very many" just as well.
+// Saturates counts that exceed the range of the wire type; their exact value does not matter then.
 template <typename Wire, typename Value>
 Wire Clamped(Value value) {
   return static_cast<Wire>(std::clamp<std::int64_t>(value, 0, std::numeric_limits<Wire>::max()));
@@ -46,7 +46,7 @@
 
 flatbuffers::Offset<wire::LeaseMark> LeaseToWire(flatbuffers::FlatBufferBuilder& builder,
                                                  const serving::LeaseMark& lease) {
-  if (lease.revision == 0) return 0;  // Nothing is known: it takes no room.
+  if (lease.revision == 0) return 0;  // The lease is unknown: the table is omitted.
   return wire::CreateLeaseMark(builder, builder.CreateString(lease.holder), builder.CreateString(lease.address),
                                lease.revision);
 }
@@ -62,7 +62,7 @@
   return builder.CreateVector(usage);
 }
 
-// Reads `source`, where the vector is there, by `read`.
+// Calls `read` for each element of `source`, which may be null.
 template <typename Vector, typename Read>
 void ForEach(const Vector* source, Read read) {
   if (source == nullptr) return;
@@ -112,7 +112,7 @@
 
 namespace {
 
-// What a report tells of its sender and of the duties, without the lists of other things.
+// Reads the fields about the sender and the duties; the other lists are read by DecodeReport.
 void ReadSender(const wire::Report& source, serving::PeerReport& report) {
   report.node = Text(source.node());
   report.address = Text(source.address());
@@ -139,11 +139,11 @@
 
 absl::StatusOr<serving::PeerReport> DecodeReport(std::string_view bytes) {
   flatbuffers::Verifier verifier(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-  if (!wire::VerifyReportBuffer(verifier)) return absl::UnavailableError("bytes that are no report");
+  if (!wire::VerifyReportBuffer(verifier)) return absl::UnavailableError("datagram is not a valid peer report");
   const wire::Report* source = wire::GetReport(bytes.data());
   if (source->format() != kFormat ||
       source->scope() > static_cast<std::uint8_t>(serving::ReportScope::kRegionForwarded)) {
-    return absl::FailedPreconditionError("a report of another format; run one version on all nodes");
+    return absl::FailedPreconditionError("peer report has another format version; run the same version on all nodes");
   }
   serving::PeerReport report;
   ReadSender(*source, report);
--- a/src/gateway/peer_codec.h
+++ b/src/gateway/peer_codec.h
@@ -1,4 +1,4 @@
-// Peer reports as FlatBuffers.
+// FlatBuffers encoding of peer reports.
 #pragma once
 
 #include <string>
@@ -10,8 +10,7 @@
 namespace saltquay::gateway {
 
 std::string EncodeReport(const serving::PeerReport& report);
-// Errors: kUnavailable for bytes that do not verify, kFailedPrecondition for a report of another format than this
-// version's.
+// Errors: kUnavailable for bytes that do not verify, kFailedPrecondition for a report with another format version.
 absl::StatusOr<serving::PeerReport> DecodeReport(std::string_view bytes);
 
 }  // namespace saltquay::gateway
--- a/src/gateway/peer_exchange.cc
+++ b/src/gateway/peer_exchange.cc
@@ -62,11 +62,11 @@
   std::vector<std::string> targets;
   for (const serving::PeerNode& peer : handlers_.peers()) targets.push_back(peer.address);
   targets = serving::TakeRoundRobin(std::move(targets), fan_out, next_);
-  // Seeds are asked as long as few answer: they may be stale.
+  // Seeds are added only while fewer peers than seeds are known, since the configured seeds may be stale.
   if (!reduced_rate_ && targets.size() < options_.seeds.size()) {
     targets.insert(targets.end(), options_.seeds.begin(), options_.seeds.end());
   }
-  // Who is there changes seldom: it is told in some rounds only.
+  // Membership changes rarely, so the peer list is sent only in some rounds.
   constexpr std::uint64_t kRoundsPerListing = 5;
   if (!reduced_rate_ && report.sequence % kRoundsPerListing != 1) report.peers.clear();
   if (reduced_rate_) {
@@ -79,7 +79,7 @@
   }
 }
 
-void PeerExchange::Greet(const std::string& address) {
+void PeerExchange::SendFullReport(const std::string& address) {
   serving::PeerReport report;
   report.address = options_.address;
   handlers_.fill(report);
@@ -97,7 +97,7 @@
 void PeerExchange::SendBytes(const std::string& address, serving::ReportScope scope, const std::string& bytes) {
   const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(address);
   if (!endpoint.ok()) return;
-  boost::system::error_code ignored;  // A datagram that is not sent is one that is lost.
+  boost::system::error_code ignored;  // A failed send is equivalent to a lost datagram.
   socket_.send_to(boost::asio::buffer(bytes), udp::endpoint(endpoint->address(), endpoint->port()), 0, ignored);
   handlers_.on_sent(address, scope, bytes.size());
 }
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -1,8 +1,7 @@
-// Sends this node's report to its peers over UDP and takes theirs.
+// Exchanges reports with peers over UDP.
 //
-// Every round goes to a bounded number of peers, in turn, so that the traffic
-// of a node does not grow with the fleet; digests go where the core says. Lost
-// datagrams do not matter.
+// Each round sends this node's report to a bounded number of peers in rotation, so that a node's traffic does not grow
+// with the fleet; digests are sent to the addresses that the core chooses. The protocol tolerates lost datagrams.
 #pragma once
 
 #include <array>
@@ -24,11 +23,11 @@
 
 struct PeerExchangeOptions {
   std::string address;             // ip:port to listen on.
-  std::vector<std::string> seeds;  // ip:port of a few nodes; may be stale.
+  std::vector<std::string> seeds;  // ip:port of some nodes, for discovery; may be stale.
   std::chrono::milliseconds interval{400};
   std::size_t fan_out = 10;
-  // The same while digests come, which tell what the others do: rounds then only keep nodes known to each other, and
-  // are as much rarer.
+  // Reduced fan-out and interval multiplier while digests arrive. Digests carry the state of the other nodes then;
+  // reports only maintain the membership.
   std::size_t reduced_fan_out = 2;
   int reduced_interval_factor = 5;
 };
@@ -36,26 +35,27 @@
 class PeerExchange {
  public:
   struct Handlers {
-    std::function<void(serving::PeerReport&)> fill;             // Completes a report before it is sent.
-    std::function<void(const serving::PeerReport&)> on_report;  // Gets what arrives.
+    std::function<void(serving::PeerReport&)> fill;             // Fills in a report before it is sent.
+    std::function<void(const serving::PeerReport&)> on_report;  // Receives every valid report.
     std::function<void(const absl::Status&, const std::string&)>
-        on_rejected_report;                                 // Cause, and the sender's address.
-    std::function<std::vector<serving::PeerNode>()> peers;  // To whom rounds go.
-    // Gets what is sent: its address, what it tells of, and its size.
+        on_rejected_report;                                 // Cause and address of the sender.
+    std::function<std::vector<serving::PeerNode>()> peers;  // Candidate receivers of a round.
+    // Called for every datagram sent, with its receiver, scope and size.
     std::function<void(const std::string&, serving::ReportScope, std::size_t bytes)> on_sent;
   };
   PeerExchange(boost::asio::io_context& loop, PeerExchangeOptions options, Handlers handlers);
 
-  // Errors say which address cannot be bound.
+  // Errors name the address that cannot be bound.
   absl::Status Start();
-  // Sends a report now, besides the rounds.
+  // Sends a report immediately, in addition to the periodic rounds.
   void SendReportNow() { SendReport(reduced_rate_ ? options_.reduced_fan_out : options_.fan_out); }
-  // The same to as many as where no digests come: what must be known soon does not hang on who sums up.
+  // Like SendReportNow, but always with the full fan-out: urgent information must not depend on the aggregators of
+  // digests.
   void SendReportWide() { SendReport(options_.fan_out); }
-  // Sends a report with all known peers to one address now.
-  void Greet(const std::string& address);
+  // Sends a report with its list of peers to one address immediately.
+  void SendFullReport(const std::string& address);
   void Send(const std::vector<serving::FleetMessage>& messages);
-  void set_reduced_rate(bool quiet) { reduced_rate_ = quiet; }
+  void set_reduced_rate(bool reduced_rate) { reduced_rate_ = reduced_rate; }
 
  private:
   void Receive();
--- a/src/gateway/quarantine_store.cc
+++ b/src/gateway/quarantine_store.cc
@@ -12,10 +12,11 @@
 
 constexpr std::string_view kKind = "saltquay-quarantine";
 constexpr std::string_view kName = "requests";
-// After another node's write: up to three nodes see ends of one request within a second.
-constexpr Duration kConflictPause = 100ms;
-constexpr Duration kFirstBackoff = 1s;
-constexpr Duration kLongestBackoff = 8s;
+// Retry delay after a revision conflict: up to three nodes observe engine crashes under the same request within a
+// second.
+constexpr Duration kConflictRetryDelay = 100ms;
+constexpr Duration kInitialBackoff = 1s;
+constexpr Duration kMaxBackoff = 8s;
 
 std::set<std::uint64_t> RequestsOf(const std::vector<serving::CrashMark>& marks) {
   std::set<std::uint64_t> requests;
@@ -48,34 +49,34 @@
   return marks;
 }
 
-QuarantineStore::QuarantineStore(Gateway& gateway, ObjectStore& store, bool reads, std::uint64_t seed)
-    : gateway_(gateway), store_(store), random_(seed), reads_(reads), backoff_(kFirstBackoff) {}
+QuarantineStore::QuarantineStore(Gateway& gateway, ObjectStore& store, bool read_at_start, std::uint64_t seed)
+    : gateway_(gateway), store_(store), random_(seed), read_pending_(read_at_start), backoff_(kInitialBackoff) {}
 
 void QuarantineStore::Step() {
-  if (under_way_ || gateway_.Now() < next_) return;
-  if (reads_ || HasUnsavedRequests()) Read();
+  if (in_flight_ || gateway_.Now() < next_) return;
+  if (read_pending_ || HasUnsavedRequests()) Read();
 }
 
 bool QuarantineStore::HasUnsavedRequests() const {
-  const std::vector<std::uint64_t> own = gateway_.core().crashes().LocallyObservedQuarantined(gateway_.Now());
-  return std::any_of(own.begin(), own.end(), [this](std::uint64_t request) { return !saved_.contains(request); });
+  const std::vector<std::uint64_t> local = gateway_.core().crashes().LocallyObservedQuarantined(gateway_.Now());
+  return std::any_of(local.begin(), local.end(), [this](std::uint64_t request) { return !saved_.contains(request); });
 }
 
 void QuarantineStore::Read() {
-  under_way_ = true;
+  in_flight_ = true;
   store_.Read(std::string(kKind), std::string(kName),
               [this](const absl::StatusOr<StoredObject>& object) { OnRead(object); });
 }
 
 void QuarantineStore::OnRead(const absl::StatusOr<StoredObject>& object) {
-  under_way_ = false;
+  in_flight_ = false;
   const bool is_known = object.ok() || absl::IsNotFound(object.status());
   if (!is_known) {
     LogCall("read", 0, object.status());
     return RetryAfter(backoff_);
   }
-  backoff_ = kFirstBackoff;
-  reads_ = false;
+  backoff_ = kInitialBackoff;
+  read_pending_ = false;
   std::vector<serving::CrashMark> marks;
   if (object.ok()) marks = DecodeQuarantine(object->content, UnixMilliseconds());
   saved_ = RequestsOf(marks);
@@ -87,7 +88,7 @@
 }
 
 void QuarantineStore::Write(std::int64_t revision) {
-  under_way_ = true;
+  in_flight_ = true;
   const std::vector<serving::CrashMark> marks = gateway_.core().crashes().QuarantineMarks(gateway_.Now());
   const StoredObject object{std::string(kName), revision, EncodeQuarantine(marks, UnixMilliseconds())};
   store_.Write(std::string(kKind), object,
@@ -97,20 +98,20 @@
 }
 
 void QuarantineStore::OnWritten(const std::set<std::uint64_t>& requests, const absl::Status& status) {
-  under_way_ = false;
+  in_flight_ = false;
   LogCall("write", requests.size(), status);
   if (status.ok()) {
     saved_ = requests;
-    backoff_ = kFirstBackoff;
+    backoff_ = kInitialBackoff;
   } else {
-    RetryAfter(absl::IsAborted(status) ? kConflictPause : backoff_);
+    RetryAfter(absl::IsAborted(status) ? kConflictRetryDelay : backoff_);
   }
 }
 
-// Spread, so that nodes that fail together do not come back together.
-void QuarantineStore::RetryAfter(Duration pause) {
-  next_ = gateway_.Now() + FromSeconds(ToSeconds(pause) * (0.5 + random_.Unit()));
-  if (pause == backoff_) backoff_ = std::min(2 * backoff_, kLongestBackoff);
+// The delay is jittered, so that nodes whose calls failed together do not retry together.
+void QuarantineStore::RetryAfter(Duration delay) {
+  next_ = gateway_.Now() + FromSeconds(ToSeconds(delay) * (0.5 + random_.Unit()));
+  if (delay == backoff_) backoff_ = std::min(2 * backoff_, kMaxBackoff);
 }
 
 void QuarantineStore::LogCall(std::string_view call, std::size_t requests, const absl::Status& status) {
--- a/src/gateway/quarantine_store.h
+++ b/src/gateway/quarantine_store.h
@@ -1,10 +1,11 @@
-// Keeps the requests in quarantine in the platform's store, for the day on which all nodes that know of them are lost.
+// Persists quarantined requests in the platform's store, so that they survive the loss of all nodes that know of them.
 //
-// Protocol. One object holds the marks of all of them. A node that saw an engine end under such a request itself adds
-// it: it reads, adds and writes at the revision that it read; when another's write wins, or no answer comes, it begins
-// anew. Who writes leaves out what is too old. A node that starts reads the object at once: one that waited for its
-// peers first would run such a request meanwhile, after the loss of all nodes. Ages are told by the time of day there:
-// a clock that is off by seconds moves the end of a quarantine by as much. Serving waits for none of this.
+// One object holds the crash marks of all quarantined requests. A node that itself observed an engine crash
+// while running such a request adds its marks by an optimistic read-modify-write: it reads the object, merges the marks
+// and writes at the revision read, and starts over after a revision conflict or a missing response. Each writer drops
+// expired marks. A starting node reads the object immediately: if it waited for its peers first, it could run such a
+// request after a loss of all nodes. Ages are stored as wall clock times, so a clock error of some seconds shifts the
+// end of a quarantine by as much. Serving requests never waits for this store.
 #pragma once
 
 #include <set>
@@ -19,10 +20,10 @@
 
 class QuarantineStore {
  public:
-  // `reads`: whether there may be anything from an earlier life of the nodes.
-  QuarantineStore(Gateway& gateway, ObjectStore& store, bool reads, std::uint64_t seed);
+  // `read_at_start`: whether the object has to be read at the start, since an earlier process may have written it.
+  QuarantineStore(Gateway& gateway, ObjectStore& store, bool read_at_start, std::uint64_t seed);
 
-  // Takes the next step, if there is one; call it some times a second.
+  // Starts the next store call if one is due; to be called several times a second.
   void Step();
 
  private:
@@ -31,20 +32,20 @@
   void Write(std::int64_t revision);
   void OnWritten(const std::set<std::uint64_t>& requests, const absl::Status& status);
   bool HasUnsavedRequests() const;
-  void RetryAfter(Duration pause);
+  void RetryAfter(Duration delay);
   void LogCall(std::string_view call, std::size_t requests, const absl::Status& status);
 
   Gateway& gateway_;
   ObjectStore& store_;
   Random random_;
-  bool reads_;
-  bool under_way_ = false;
+  bool read_pending_;
+  bool in_flight_ = false;
   Time next_{};
   Duration backoff_;
-  std::set<std::uint64_t> saved_;  // Requests that the object holds, as far as known.
+  std::set<std::uint64_t> saved_;  // Requests in the stored object, as of the last read or write.
 };
 
-// The object's content. Marks that do not decode are left out.
+// Content of the stored object. Marks that do not decode are skipped.
 std::string EncodeQuarantine(const std::vector<serving::CrashMark>& marks, std::int64_t unix_ms);
 std::vector<serving::CrashMark> DecodeQuarantine(const std::string& content, std::int64_t unix_ms);
 
--- a/src/gateway/request_fingerprint.cc
+++ b/src/gateway/request_fingerprint.cc
@@ -12,12 +12,12 @@
 class KeyedHash {
  public:
   explicit KeyedHash(std::string_view key) {
-    // The library asks for it before any other call; it chooses the processor's fastest code once.
+    // Required by libsodium before any other call; selects the fastest implementation for the CPU.
     [[maybe_unused]] const int chosen = sodium_init();
     const std::size_t length = std::min<std::size_t>(key.size(), crypto_generichash_KEYBYTES_MAX);
     crypto_generichash_init(&state_, Bytes(key), length, crypto_generichash_BYTES_MIN);
   }
-  // Lengths keep what is added apart.
+  // The length prefix keeps the boundaries between the added strings unambiguous.
   void Add(std::string_view text) {
     const std::uint64_t length = text.size();
     crypto_generichash_update(&state_, reinterpret_cast<const unsigned char*>(&length), sizeof(length));
--- a/src/gateway/request_fingerprint.h
+++ b/src/gateway/request_fingerprint.h
@@ -1,4 +1,4 @@
-// What a request is, whichever attempt, node or connection it comes by.
+// Identifies a request independently of the attempt, node or connection.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,9 @@
 
 namespace saltquay::gateway {
 
-// A hash of method, host, target and body that nobody can aim at another request's. `key`: a secret that all nodes
-// share, so that logs do not confirm a guessed body; may be empty. Never 0.
+// Returns a cryptographic hash of method, host, target and body: nobody can craft a request with the fingerprint
+// of another one. `key`: a secret shared by all nodes, so that logged fingerprints do not confirm a guessed body; may
+// be empty. The result is never 0.
 std::uint64_t FingerprintRequest(const http::RequestHead& head, std::string_view body, std::string_view key);
 
 }  // namespace saltquay::gateway
--- a/src/gateway/stop_schedule.h
+++ b/src/gateway/stop_schedule.h
@@ -1,10 +1,9 @@
-// When a process that was told to stop takes, accepts and ends what.
+// The schedule of a graceful stop.
 //
-// Protocol. From the stop signal on the node is not ready, and the entry moves
-// callers away within two or three seconds; until then requests are served as before.
-// Then, for a moment, new requests are refused with a time to come back: a stream that
-// begins so late may outlast the process, and would be cut. Then the listener and idle
-// connections close; what runs is finished; the process ends a margin before it
+// From the stop signal on, the node reports itself as not ready, and the load balancer moves clients to other nodes
+// within two or three seconds; until then requests are served as before. Then, for a short time, new requests are
+// refused with Retry-After: a stream that starts this late may outlast the process and would be cut off. Then the
+// listener and idle connections are closed and requests in progress are finished. The process exits a margin before it
 // would be killed.
 #pragma once
 
@@ -17,24 +16,24 @@
  public:
   using Milliseconds = std::chrono::milliseconds;
 
-  // `grace`: from the signal to the kill.
+  // `grace`: time from the stop signal to the kill.
   explicit StopSchedule(Milliseconds grace) : grace_(grace) {}
 
-  // Whether a request that comes so long after the signal is served; else it is refused.
-  bool Serves(Milliseconds elapsed) const { return elapsed < MoveAwayTime() - kLastMoment; }
-  // Whether connections are accepted.
-  bool Accepts(Milliseconds elapsed) const { return elapsed < MoveAwayTime(); }
-  // Whether the process ends whatever still runs.
-  bool Ends(Milliseconds elapsed) const { return elapsed >= grace_ - kStopMargin; }
+  // Whether a request that arrives `elapsed` after the signal is served; otherwise it is refused.
+  bool ServesRequests(Milliseconds elapsed) const { return elapsed < DrainTime() - kRefusalTime; }
+  bool AcceptsConnections(Milliseconds elapsed) const { return elapsed < DrainTime(); }
+  // Whether the process exits even if requests are still in progress.
+  bool MustExit(Milliseconds elapsed) const { return elapsed >= grace_ - kStopMargin; }
 
  private:
-  // Callers are moved away by the entry within this time: it asks each second, and two misses in a row take a node out.
-  static constexpr Milliseconds kMoveAwayTime{3200};
-  // What comes in the last of that time is refused; callers answer for what they send within 3 s of a stop.
-  static constexpr Milliseconds kLastMoment{300};
+  // Time in which the load balancer moves clients away: it polls /ready every second and takes a node out after two
+  // consecutive failures.
+  static constexpr Milliseconds kDrainTime{3200};
+  // Requests in the last part of that time are refused; callers answer for what they send within 3 s of a stop.
+  static constexpr Milliseconds kRefusalTime{300};
   static constexpr Milliseconds kStopMargin{600};
 
-  Milliseconds MoveAwayTime() const { return std::min(kMoveAwayTime, grace_ / 2); }
+  Milliseconds DrainTime() const { return std::min(kDrainTime, grace_ / 2); }
 
   Milliseconds grace_;
 };
--- a/src/gateway/traffic_meter.cc
+++ b/src/gateway/traffic_meter.cc
@@ -7,13 +7,13 @@
 
 constexpr std::array<std::string_view, kTrafficKinds> kKindNames = {
     "request", "answer", "report", "zone_digest", "region_digest", "fleet_digest", "usage", "limits", "records"};
-constexpr std::array<std::string_view, kTrafficLocalities> kReachNames = {"zone", "region", "far"};
+constexpr std::array<std::string_view, kTrafficLocalities> kLocalityNames = {"zone", "region", "far"};
 
 }  // namespace
 
 std::string_view NameOf(TrafficKind kind) { return kKindNames.at(static_cast<std::size_t>(kind)); }
 
-std::string_view NameOf(TrafficLocality reach) { return kReachNames.at(static_cast<std::size_t>(reach)); }
+std::string_view NameOf(TrafficLocality locality) { return kLocalityNames.at(static_cast<std::size_t>(locality)); }
 
 TrafficKind KindOf(serving::ReportScope scope) {
   switch (scope) {
@@ -39,12 +39,12 @@
   return topology_.IsOwnRegion(zone) ? TrafficLocality::kRegion : TrafficLocality::kOtherRegion;
 }
 
-void TrafficMeter::Count(TrafficKind kind, TrafficLocality reach, std::size_t bytes) {
-  bytes_.at(static_cast<std::size_t>(kind)).at(static_cast<std::size_t>(reach)) += bytes;
+void TrafficMeter::Count(TrafficKind kind, TrafficLocality locality, std::size_t bytes) {
+  bytes_.at(static_cast<std::size_t>(kind)).at(static_cast<std::size_t>(locality)) += bytes;
 }
 
-std::uint64_t TrafficMeter::bytes(TrafficKind kind, TrafficLocality reach) const {
-  return bytes_.at(static_cast<std::size_t>(kind)).at(static_cast<std::size_t>(reach));
+std::uint64_t TrafficMeter::bytes(TrafficKind kind, TrafficLocality locality) const {
+  return bytes_.at(static_cast<std::size_t>(kind)).at(static_cast<std::size_t>(locality));
 }
 
 std::string TrafficMeter::Summary() const {
--- a/src/gateway/traffic_meter.h
+++ b/src/gateway/traffic_meter.h
@@ -1,8 +1,8 @@
-// Bytes between this node and engines or other nodes, by what they are for and
-// how far they go: links between regions are paid for by the byte.
+// Counts bytes between this node and engines or other nodes by kind and locality, since traffic between regions is
+// billed by the byte.
 //
-// Counted are the contents of messages, without the headers of TCP, UDP and of HTTP
-// answers. What is asked for is counted by who asks.
+// Only message contents are counted, without the headers of TCP, UDP and HTTP responses. Fetched data is counted by the
+// node that requested it.
 #pragma once
 
 #include <array>
@@ -16,19 +16,19 @@
 namespace saltquay::gateway {
 
 enum class TrafficKind : std::uint8_t {
-  kRequest,       // To engines: head and body.
-  kAnswer,        // Bodies from engines.
-  kReport,        // A node's own, to its aggregators and in rounds.
-  kZoneDigest,    // Sums that aggregators tell each other.
-  kRegionDigest,  // The same between regions.
-  kFleetDigest,   // Sums that aggregators tell the nodes of their zone.
-  kUsage,         // Requests by tenant, to the holder of the duties.
-  kLimits,        // Messages of tenants' limits.
-  kRecords,       // The store's objects, from the peers that read it.
+  kRequest,       // Requests to engines: head and body.
+  kResponse,      // Response bodies from engines.
+  kReport,        // A node's own reports, to its aggregators and in report rounds.
+  kZoneDigest,    // Zone digests between aggregators.
+  kRegionDigest,  // Region digests between regions.
+  kFleetDigest,   // Fleet digests from aggregators to the nodes of their zone.
+  kUsage,         // Request counts by tenant, to the duty lease holder.
+  kLimits,        // Tenant limit messages.
+  kRecords,       // Store objects relayed by other nodes.
 };
 inline constexpr std::size_t kTrafficKinds = 9;
 std::string_view NameOf(TrafficKind kind);
-// The kind of a datagram of that scope.
+// Returns the kind of a datagram with a report of that scope.
 TrafficKind KindOf(serving::ReportScope scope);
 
 enum class TrafficLocality : std::uint8_t {
@@ -37,18 +37,18 @@
   kOtherRegion
 };  // kOtherRegion: another region, or not known.
 inline constexpr std::size_t kTrafficLocalities = 3;
-std::string_view NameOf(TrafficLocality reach);
+std::string_view NameOf(TrafficLocality locality);
 
 class TrafficMeter {
  public:
-  // `topology` outlives it.
+  // `topology` must outlive the meter.
   explicit TrafficMeter(const serving::Topology& topology) : topology_(topology) {}
 
   TrafficLocality LocalityOf(std::string_view zone) const;
-  void Count(TrafficKind kind, TrafficLocality reach, std::size_t bytes);
+  void Count(TrafficKind kind, TrafficLocality locality, std::size_t bytes);
   void Count(TrafficKind kind, std::string_view zone, std::size_t bytes) { Count(kind, LocalityOf(zone), bytes); }
-  std::uint64_t bytes(TrafficKind kind, TrafficLocality reach) const;
-  // All that was counted, as JSON members.
+  std::uint64_t bytes(TrafficKind kind, TrafficLocality locality) const;
+  // Returns all counters as JSON members.
   std::string Summary() const;
 
  private:
--- a/src/gateway/usage_codec.h
+++ b/src/gateway/usage_codec.h
@@ -1,4 +1,4 @@
-// The store's object of sealed usage reports as JSON.
+// JSON encoding of the stored object with the sealed usage reports.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace saltquay::gateway {
 
 std::string EncodeSealedUsage(const duties::SealedUsage& sealed);
-// kCorrupt: the object does not decode.
+// Returns kCorrupt if the object does not decode.
 absl::StatusOr<duties::SealedUsage> DecodeSealedUsage(const StoredObject& object);
 
 }  // namespace saltquay::gateway
--- a/tests/gateway/gateway_components_test.cc
+++ b/tests/gateway/gateway_components_test.cc
@@ -1,4 +1,4 @@
-// Event splitting, the engines' protocol, settings, log lines, peer reports.
+// Tests of gateway components: event splitter, engine protocol, settings, log stream, stop schedule and codecs.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -20,7 +20,7 @@
 namespace saltquay::gateway {
 namespace {
 
-RC_GTEST_PROP(EventSplitterProperty, AnySplitGivesTheSameEvents, ()) {
+RC_GTEST_PROP(EventSplitterProperty, EventsDoNotDependOnChunkBoundaries, ()) {
   const std::string stream =
       "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\n: comment\n\nid: 30\ndata: d\n\nid: 31\ndata: cut";
   const std::string whole = stream.substr(0, stream.rfind("id: 31"));
@@ -57,7 +57,7 @@
   return head;
 }
 
-TEST(EngineProtocolTest, ReadsWhatTheCallerTold) {
+TEST(EngineProtocolTest, DecodesRequestHeaders) {
   const serving::RequestMetadata facts = EngineProtocol(EngineProtocolFields{}).DecodeRequest(ClientHead());
   EXPECT_EQ(facts.request_id, "r1");
   EXPECT_EQ(facts.host, "h.example");
@@ -70,7 +70,7 @@
   EXPECT_EQ(facts.prompt->parts[1].id, "91bd");
 }
 
-TEST(EngineProtocolTest, SystemFieldsOfAClientNeverPass) {
+TEST(EngineProtocolTest, DropsSystemFieldsFromClients) {
   serving::StartAttempt attempt;
   attempt.engine_id = "e7";
   attempt.time_left = 1234ms;
@@ -88,7 +88,7 @@
   EXPECT_EQ(head.fields.Find("Saltquay-Request-Id").value_or(""), "r1");
 }
 
-TEST(EngineProtocolTest, OddNumbersDoNotHurt) {
+TEST(EngineProtocolTest, IgnoresMalformedNumbers) {
   http::RequestHead head;
   head.method = "GET";
   head.target = "/";
@@ -101,7 +101,7 @@
   EXPECT_EQ(facts.prompt->tokens, 0);
 }
 
-TEST(EngineProtocolTest, AnswersSayWhetherTheyRan) {
+TEST(EngineProtocolTest, DecodesResponseHeaders) {
   const EngineProtocol protocol{EngineProtocolFields{}};
   http::ResponseHead head;
   head.status = 503;
@@ -111,11 +111,11 @@
   EXPECT_TRUE(protocol.DecodeResponse(head).not_executed);
   EXPECT_EQ(protocol.DecodeResponse(head).load->waiting, 1);
   head.fields.Add("Saltquay-Request-Id", "other");
-  EXPECT_FALSE(protocol.Answers(head, "r1"));
+  EXPECT_FALSE(protocol.IsResponseTo(head, "r1"));
   EXPECT_EQ(protocol.DecodeKvHandle(R"({"handle":"h1"})"), "h1");
   EXPECT_EQ(protocol.DecodeKvHandle("not json"), "");
-  EXPECT_FALSE(protocol.ReadState("[]"));
-  EXPECT_EQ(protocol.ReadState(R"({"stage":"prefill","sequence":3,"busy":true})")->sequence, 3);
+  EXPECT_FALSE(protocol.DecodeEngineState("[]"));
+  EXPECT_EQ(protocol.DecodeEngineState(R"({"stage":"prefill","sequence":3,"busy":true})")->sequence, 3);
 }
 
 constexpr char kSettings[] = R"(node_name = "n1"
@@ -128,7 +128,7 @@
 retry_budget_slack = 54
 )";
 
-TEST(RequestFingerprintTest, IsOfMethodHostTargetAndBodyAndOfNothingElse) {
+TEST(RequestFingerprintTest, DependsOnlyOnMethodHostTargetAndBody) {
   http::RequestHead head;
   head.method = "POST";
   head.target = "/a/b?c";
@@ -139,7 +139,7 @@
   EXPECT_EQ(FingerprintRequest(repeat, "body", ""), first);
   EXPECT_NE(FingerprintRequest(head, "bodY", ""), first);
   EXPECT_NE(FingerprintRequest(head, "body", "secret"), first);
-  // What moves from one part to the next makes another request.
+  // Moving a character from one part to the next changes the fingerprint.
   head.target = "/a/b?cb";
   EXPECT_NE(FingerprintRequest(head, "ody", ""), first);
 }
@@ -152,7 +152,7 @@
   EXPECT_TRUE(settings->changes_roles);
 }
 
-TEST(GatewaySettingsTest, BaselinesOfTheReadingOrderCanBeChosen) {
+TEST(GatewaySettingsTest, ReadsPrefillOrderPolicies) {
   const auto none = ParseGatewaySettings(
       std::string(kSettings) + "[policy]\nreading_order = \"none\"\noverflow = false\nrefuse_excess = false\n", "f");
   ASSERT_TRUE(none.ok()) << none.status();
@@ -161,7 +161,7 @@
   EXPECT_FALSE(none->parameters.sheds_load);
 }
 
-TEST(GatewaySettingsTest, TheQuarantineCanBeSetAndTurnedOff) {
+TEST(GatewaySettingsTest, ReadsQuarantineSettings) {
   const std::string base =
       "node_name = \"n\"\nzone = \"a\"\nclient_listen = \"127.0.0.1:1\"\nready_listen = \"127.0.0.1:2\"\n"
       "store_address = \"127.0.0.1:3\"\n";
@@ -175,7 +175,7 @@
             Duration(0s));
 }
 
-TEST(GatewaySettingsTest, DutiesAndCapacityAreRead) {
+TEST(GatewaySettingsTest, ReadsDutiesAndCapacity) {
   const std::string base = R"(node_name = "n"
 zone = "z"
 client_listen = "127.0.0.1:1"
@@ -204,7 +204,7 @@
   EXPECT_FALSE(ParseGatewaySettings(base + "[capacity]\nordinary_share = 2\n", "f").ok());
 }
 
-TEST(GatewaySettingsTest, ErrorsNameFileLineKeyAndRemedy) {
+TEST(GatewaySettingsTest, ErrorsNameFileLineAndKey) {
   struct Case {
     std::string text;
     std::string part;
@@ -220,7 +220,7 @@
   }
 }
 
-TEST(LogStreamTest, LinesAreJsonAndAReaderThatDoesNotReadBlocksNothing) {
+TEST(LogStreamTest, WritesJsonLinesAndNeverBlocksOnAStalledReader) {
   std::array<int, 2> ends{};
   ASSERT_EQ(pipe(ends.data()), 0);
   LogStreamOptions options;
@@ -244,7 +244,7 @@
   close(ends[1]);
 }
 
-TEST(LogStreamTest, AboveTheRateInfoIsDroppedAndTold) {
+TEST(LogStreamTest, DropsInfoLinesAboveTheRateLimitAndReportsTheCount) {
   std::array<int, 2> ends{};
   ASSERT_EQ(pipe(ends.data()), 0);
   LogStreamOptions options;
@@ -263,22 +263,22 @@
   close(ends[1]);
 }
 
-TEST(StopScheduleTest, WhatComesInTheLastMomentIsRefusedAndNotCutLater) {
-  // rutas-gt, mix seeds 1007064221436 and 355554321148: a stream that was taken 3.19 s after the stop signal was cut
-  // when the process ended 4.2 s later.
+TEST(StopScheduleTest, RefusesRequestsBeforeTheListenerCloses) {
+  // Guards against accepting a stream too late (rutas-gt, mix seeds 1007064221436 and 355554321148): a stream that
+  // started 3.19 s after the stop signal was cut off when the process exited 4.2 s later.
   using std::chrono::milliseconds;
   const StopSchedule schedule(milliseconds(8000));
-  EXPECT_TRUE(schedule.Serves(milliseconds(2800)));
-  EXPECT_FALSE(schedule.Serves(milliseconds(3000)));
-  EXPECT_TRUE(schedule.Accepts(milliseconds(3190)));
-  EXPECT_FALSE(schedule.Accepts(milliseconds(3200)));
-  EXPECT_FALSE(schedule.Ends(milliseconds(7300)));
-  EXPECT_TRUE(schedule.Ends(milliseconds(7400)));
-  // A short grace leaves half of it to what runs.
-  EXPECT_FALSE(StopSchedule(milliseconds(2000)).Accepts(milliseconds(1000)));
+  EXPECT_TRUE(schedule.ServesRequests(milliseconds(2800)));
+  EXPECT_FALSE(schedule.ServesRequests(milliseconds(3000)));
+  EXPECT_TRUE(schedule.AcceptsConnections(milliseconds(3190)));
+  EXPECT_FALSE(schedule.AcceptsConnections(milliseconds(3200)));
+  EXPECT_FALSE(schedule.MustExit(milliseconds(7300)));
+  EXPECT_TRUE(schedule.MustExit(milliseconds(7400)));
+  // With a short grace period, half of it remains for requests in progress.
+  EXPECT_FALSE(StopSchedule(milliseconds(2000)).AcceptsConnections(milliseconds(1000)));
 }
 
-TEST(UsageCodecTest, SealedReportsSurviveAndOthersAreTypedErrors) {
+TEST(UsageCodecTest, SealedReportsRoundTripAndInvalidOnesAreCorrupt) {
   const duties::SealedUsage sealed{12, {{7, {{"t1", 5}, {"t2", 6}}}, {8, {}}}};
   const auto decoded = DecodeSealedUsage({"reports", 12, EncodeSealedUsage(sealed)});
   ASSERT_TRUE(decoded.ok()) << decoded.status();
@@ -289,7 +289,7 @@
   }
 }
 
-TEST(PeerCodecTest, UsageAndLeaseSurvive) {
+TEST(PeerCodecTest, UsageAndLeaseRoundTrip) {
   serving::PeerReport report;
   report.scope = serving::ReportScope::kUsage;
   report.node = "n1";
@@ -308,7 +308,7 @@
   EXPECT_EQ(decoded->usage, report.usage);
 }
 
-TEST(PeerCodecTest, ReportsSurviveAndGarbageIsRefused) {
+TEST(PeerCodecTest, ReportsRoundTripAndGarbageIsRejected) {
   serving::PeerReport report;
   report.node = "n1";
   report.address = "1.2.3.4:5";
@@ -336,7 +336,7 @@
   EXPECT_FALSE(DecodeReport("garbage").ok());
 }
 
-RC_GTEST_PROP(PeerCodecProperty, AnyBytesDecodeOrAreRefused, ()) {
+RC_GTEST_PROP(PeerCodecProperty, AnyBytesDecodeOrAreRejected, ()) {
   static_cast<void>(DecodeReport(*rc::gen::container<std::string>(rc::gen::arbitrary<char>())));
 }
 
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -1,5 +1,5 @@
-// A gateway between a real client and scripted engines: the failures that
-// docs/OPERATIONS.md walks through, and what the logs say of them.
+// Tests a gateway between a real client and scripted engines: the failures described in docs/OPERATIONS.md, and the log
+// lines that explain them.
 #include "src/gateway/gateway.h"
 
 #include <fcntl.h>
@@ -33,7 +33,7 @@
     settings.node_name = "node-1";
     settings.zone = "a";
     settings.parameters.retry_budget.slack = 100;
-    settings.first_start = true;  // No earlier process has spent any of it.
+    settings.first_start = true;  // The retry budget starts unspent: there was no earlier process.
     gateway_ = std::make_unique<Gateway>(loop_, settings, EngineProtocol(EngineProtocolFields{}), *log_, 3);
     // It has no peers and knows it, as FleetCoordinator tells one that listens for none.
     gateway_->Dispatch(serving::PeersChanged{});
@@ -80,7 +80,7 @@
     thread_ = std::thread([this] { loop_.run(); });
   }
 
-  std::string Ask(const std::string& id, const std::string& path = "/x") {
+  std::string SendRequest(const std::string& id, const std::string& path = "/x") {
     const int client = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -93,10 +93,10 @@
     return connection.ReadToEnd();
   }
 
-  // Reads the log until a line of that event has come, for two seconds at most.
+  // Reads the log until a line with that event appears, for at most two seconds.
   LogExplainer ReadLog(const std::string& event) {
     std::string text;
-    for (int tries = 0; tries < 100 && text.find(event) == std::string::npos; ++tries) {
+    for (int attempt = 0; attempt < 100 && text.find(event) == std::string::npos; ++attempt) {
       boost::asio::post(loop_, [this] { log_->Flush(); });
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
       fcntl(pipe_[0], F_SETFL, O_NONBLOCK);
@@ -110,7 +110,7 @@
     return explainer;
   }
 
-  // What `explain --request` prints.
+  // Returns what `explain --request` prints.
   std::string Explain(const std::string& id) {
     std::atomic<bool> flushed = false;
     boost::asio::post(loop_, [&] {
@@ -129,9 +129,9 @@
     return all;
   }
 
-  static ScriptedServer::Script Always(const std::string& answer) {
-    return [answer](ScriptedConnection& connection) {
-      while (connection.ReadUntil("body").find("body") != std::string::npos) connection.Write(answer);
+  static ScriptedServer::Script AlwaysRespond(const std::string& response) {
+    return [response](ScriptedConnection& connection) {
+      while (connection.ReadUntil("body").find("body") != std::string::npos) connection.Write(response);
     };
   }
 
@@ -144,54 +144,54 @@
 };
 
 constexpr char kSigned[] = "HTTP/1.1 200 OK\r\nSaltquay-Signature: s\r\nContent-Length: 2\r\n\r\nok";
-constexpr char kFull[] = "HTTP/1.1 503 Busy\r\nSaltquay-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
+constexpr char kBusy[] = "HTTP/1.1 503 Busy\r\nSaltquay-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
 
-TEST_F(GatewayTest, RelaysAWholeAnswer) {
-  ScriptedServer engine({Always(kSigned)});
+TEST_F(GatewayTest, ForwardsCompleteResponse) {
+  ScriptedServer engine({AlwaysRespond(kSigned)});
   Serve({engine.address()}, serving::RouteKind::kAtMostOnce);
-  const std::string answer = Ask("r1");
-  EXPECT_NE(answer.find("200 OK"), std::string::npos);
-  EXPECT_NE(answer.find("Saltquay-Signature: s"), std::string::npos);
-  EXPECT_TRUE(answer.ends_with("ok"));
+  const std::string response = SendRequest("r1");
+  EXPECT_NE(response.find("200 OK"), std::string::npos);
+  EXPECT_NE(response.find("Saltquay-Signature: s"), std::string::npos);
+  EXPECT_TRUE(response.ends_with("ok"));
   EXPECT_NE(Explain("r1").find("request_answered: engine=e0"), std::string::npos);
 }
 
-TEST_F(GatewayTest, RefusedThoughEnginesWereFreeAsSeenFromOutside) {
-  ScriptedServer first({Always(kFull)});
-  ScriptedServer second({Always(kFull)});
+TEST_F(GatewayTest, Responds503WithRetryAfterWhenAllEnginesRefuse) {
+  ScriptedServer first({AlwaysRespond(kBusy)});
+  ScriptedServer second({AlwaysRespond(kBusy)});
   Serve({first.address(), second.address()}, serving::RouteKind::kAtMostOnce);
-  const std::string answer = Ask("r1");
-  EXPECT_NE(answer.find(" 503 "), std::string::npos);
-  EXPECT_NE(answer.find("Retry-After: 0.40"), std::string::npos);
-  const std::string told = Explain("r1");
-  EXPECT_NE(told.find("engine=e0"), std::string::npos);
-  EXPECT_NE(told.find("engine=e1"), std::string::npos);
-  EXPECT_NE(told.find("cause=refused by the engine"), std::string::npos);
-  EXPECT_NE(told.find("request_refused: cause=no engine can take it"), std::string::npos);
+  const std::string response = SendRequest("r1");
+  EXPECT_NE(response.find(" 503 "), std::string::npos);
+  EXPECT_NE(response.find("Retry-After: 0.40"), std::string::npos);
+  const std::string explanation = Explain("r1");
+  EXPECT_NE(explanation.find("engine=e0"), std::string::npos);
+  EXPECT_NE(explanation.find("engine=e1"), std::string::npos);
+  EXPECT_NE(explanation.find("cause=refused by the engine"), std::string::npos);
+  EXPECT_NE(explanation.find("request_refused: cause=no engine can take it"), std::string::npos);
 }
 
-TEST_F(GatewayTest, BadGatewayAfterAnEngineDiedWithTheRequest) {
+TEST_F(GatewayTest, Responds502WhenEngineResetsConnectionDuringRequest) {
   std::atomic<int> requests = 0;
   ScriptedServer engine({[&](ScriptedConnection& connection) {
     if (!connection.ReadUntil("body").empty()) ++requests;
     connection.Reset();
   }});
   Serve({engine.address()}, serving::RouteKind::kAtMostOnce);
-  EXPECT_NE(Ask("r1").find(" 502 "), std::string::npos);
-  const std::string told = Explain("r1");
-  EXPECT_NE(told.find("request_routed"), std::string::npos);
-  EXPECT_NE(told.find("request_failed: cause=the engine broke off; it may have run"), std::string::npos);
+  EXPECT_NE(SendRequest("r1").find(" 502 "), std::string::npos);
+  const std::string explanation = Explain("r1");
+  EXPECT_NE(explanation.find("request_routed"), std::string::npos);
+  EXPECT_NE(explanation.find("request_failed: cause=the engine broke off; it may have run"), std::string::npos);
   EXPECT_EQ(requests, 1);
 }
 
-TEST_F(GatewayTest, AnEngineWhoseProcessEndedIsTold) {
+TEST_F(GatewayTest, LogsEngineEndedWhenEngineStopsListening) {
   ScriptedServer engine({[&](ScriptedConnection& connection) {
     connection.ReadUntil("body");
     engine.StopListening();
     connection.Reset();
   }});
   Serve({engine.address()}, serving::RouteKind::kAtMostOnce);
-  EXPECT_NE(Ask("r1").find(" 502 "), std::string::npos);
+  EXPECT_NE(SendRequest("r1").find(" 502 "), std::string::npos);
   const LogExplainer log = ReadLog("engine_ended");
   ASSERT_FALSE(log.Engine("e0").empty());
   EXPECT_NE(log.Engine("e0").back().text.find("engine_ended"), std::string::npos);
@@ -200,41 +200,41 @@
   for (const LogLine& line : log.Request("r1")) {
     if (line.request == "r1") fingerprint = line.text.substr(line.text.find(mark) + mark.size(), 16);
   }
-  // The request's own lines and the engine's end.
+  // Two lines of the request itself and the engine_ended line.
   EXPECT_EQ(log.Fingerprint(fingerprint).size(), 3U);
 }
 
-TEST_F(GatewayTest, AnEngineOfWhichOnlyAConnectionBrokeHasNotEnded) {
+TEST_F(GatewayTest, DoesNotLogEngineEndedWhenOnlyAConnectionBreaks) {
   ScriptedServer engine({[](ScriptedConnection& connection) {
                            connection.ReadUntil("body");
                            connection.Reset();
                          },
-                         Always(kSigned)});
+                         AlwaysRespond(kSigned)});
   Serve({engine.address()}, serving::RouteKind::kAtMostOnce);
-  EXPECT_NE(Ask("r1").find(" 502 "), std::string::npos);
-  EXPECT_NE(Ask("r2").find(" 200 "), std::string::npos);
+  EXPECT_NE(SendRequest("r1").find(" 502 "), std::string::npos);
+  EXPECT_NE(SendRequest("r2").find(" 200 "), std::string::npos);
   for (const LogLine& line : ReadLog("request_answered").Engine("e0")) {
     EXPECT_EQ(line.text.find("engine_ended"), std::string::npos) << line.text;
   }
 }
 
-// A suspended machine: the loop stood still, and so did the standard's steady clock.
-TEST_F(GatewayTest, WhatWasDueWhileTheMachineWasSuspendedIsDoneAtOnceAfterTheWake) {
+// While a machine is suspended, neither the event loop nor std::chrono::steady_clock advances.
+TEST_F(GatewayTest, OverdueTimersFireImmediatelyAfterResume) {
   ScriptedServer silent({[](ScriptedConnection& connection) { connection.ReadToEnd(); }});
   Serve({silent.address()}, serving::RouteKind::kAtMostOnce);
-  std::string answer;
-  std::thread caller([&] { answer = Ask("r1"); });
+  std::string response;
+  std::thread client_thread([&] { response = SendRequest("r1"); });
   ReadLog("request_routed");
-  const auto woken = std::chrono::steady_clock::now();
+  const auto resumed = std::chrono::steady_clock::now();
   const Time before = gateway_->Now();
   BootClock::Suspend(std::chrono::seconds(5));
   EXPECT_GE(gateway_->Now() - before, 5s);
-  caller.join();
-  EXPECT_NE(answer.find(" 504 "), std::string::npos);
-  EXPECT_LT(std::chrono::steady_clock::now() - woken, std::chrono::milliseconds(900));  // Of a timeout of 2 s.
+  client_thread.join();
+  EXPECT_NE(response.find(" 504 "), std::string::npos);
+  EXPECT_LT(std::chrono::steady_clock::now() - resumed, std::chrono::milliseconds(900));  // The timeout is 2 s.
 }
 
-TEST_F(GatewayTest, AStreamBrokenOffMidwayDoesNotLookComplete) {
+TEST_F(GatewayTest, AbortedStreamDoesNotLookComplete) {
   ScriptedServer engine({[](ScriptedConnection& connection) {
     connection.ReadUntil("body");
     connection.Write(
@@ -244,31 +244,31 @@
     connection.Reset();
   }});
   Serve({engine.address()}, serving::RouteKind::kStreaming);
-  const std::string answer = Ask("r1");
-  EXPECT_NE(answer.find("id: 1\ndata: a\n\n"), std::string::npos);
-  EXPECT_EQ(answer.find("id: 2"), std::string::npos);
-  EXPECT_EQ(answer.find("0\r\n\r\n"), std::string::npos);
+  const std::string response = SendRequest("r1");
+  EXPECT_NE(response.find("id: 1\ndata: a\n\n"), std::string::npos);
+  EXPECT_EQ(response.find("id: 2"), std::string::npos);
+  EXPECT_EQ(response.find("0\r\n\r\n"), std::string::npos);
   EXPECT_NE(Explain("r1").find("request_broken_off: cause=the engine broke off"), std::string::npos);
 }
 
-TEST_F(GatewayTest, ARepeatableRequestIsServedByTheSecondEngine) {
-  ScriptedServer dies({[](ScriptedConnection& connection) {
+TEST_F(GatewayTest, RetriesRepeatableRequestOnSecondEngine) {
+  ScriptedServer failing({[](ScriptedConnection& connection) {
     connection.ReadUntil("body");
     connection.Reset();
   }});
-  ScriptedServer lives({Always(kSigned)});
-  Serve({dies.address(), lives.address()}, serving::RouteKind::kRepeatable);
-  for (int i = 0; i < 4; ++i) EXPECT_NE(Ask("r" + std::to_string(i)).find("200 OK"), std::string::npos);
+  ScriptedServer working({AlwaysRespond(kSigned)});
+  Serve({failing.address(), working.address()}, serving::RouteKind::kRepeatable);
+  for (int i = 0; i < 4; ++i) EXPECT_NE(SendRequest("r" + std::to_string(i)).find("200 OK"), std::string::npos);
 }
 
-TEST(LogExplainerTest, AUsageWindowIsToldWithItsHolders) {
+TEST(LogExplainerTest, ShowsUsageWindowWithLeaseHolders) {
   std::istringstream log(
       R"({"time_ms":1,"process":"a","name":"lease_acquired","token":3}
 {"time_ms":2,"process":"a","name":"lease_acquired","token":5}
 {"time_ms":3,"process":"a","name":"usage_sealed","window":6,"requests":9}
 {"time_ms":4,"process":"a","name":"usage_sealed","window":7,"requests":8}
 {"time_ms":5,"process":"a","name":"usage_reported","window":7,"outcome":"unknown"}
-{"time_ms":6,"process":"a","name":"lease_lost","cause":"given up"}
+{"time_ms":6,"process":"a","name":"lease_lost","cause":"resigned"}
 {"time_ms":7,"process":"b","name":"lease_acquired","token":9}
 {"time_ms":8,"process":"b","name":"usage_reported","window":7,"outcome":"done"}
 )");
@@ -278,12 +278,12 @@
   for (const LogLine& line : explainer.UsageWindow(7)) all += FormatLogLine(line) + "\n";
   EXPECT_EQ(all,
             "2 a lease_acquired: token=5\n4 a usage_sealed: requests=8 window=7\n"
-            "5 a usage_reported: outcome=unknown window=7\n6 a lease_lost: cause=given up\n"
+            "5 a usage_reported: outcome=unknown window=7\n6 a lease_lost: cause=resigned\n"
             "7 b lease_acquired: token=9\n8 b usage_reported: outcome=done window=7\n");
   EXPECT_TRUE(explainer.UsageWindow(99).empty());
 }
 
-TEST(LogExplainerTest, BadLinesAreCountedWithTheirNumber) {
+TEST(LogExplainerTest, RecordsUnparsedLinesWithLineNumber) {
   std::istringstream log(
       "noise\n{\"time_ms\":2,\"name\":\"request_routed\",\"request\":\"r\",\"process\":\"n\"}\n{\"cut\":\n");
   LogExplainer explainer;
--- a/tests/gateway/limit_codec_test.cc
+++ b/tests/gateway/limit_codec_test.cc
@@ -1,4 +1,4 @@
-// Messages of tenants' limits on the wire.
+// Tests the wire encoding of tenant limit messages.
 #include <gtest/gtest.h>
 
 #include "src/gateway/limit_codec.h"
@@ -7,8 +7,8 @@
 namespace saltquay::gateway {
 namespace {
 
-// What one report carries of the messages.
-std::vector<limits::LimitMessage> Carried(const std::vector<limits::LimitMessage>& messages) {
+// Encodes the messages in a report and returns what decodes from it.
+std::vector<limits::LimitMessage> RoundTrip(const std::vector<limits::LimitMessage>& messages) {
   serving::PeerReport report;
   report.scope = serving::ReportScope::kLimits;
   report.limits = messages;
@@ -17,44 +17,44 @@
   return decoded->limits;
 }
 
-TEST(LimitCodecTest, AnAskSurvivesTheWire) {
+TEST(LimitCodecTest, LimitAskRoundTrips) {
   const limits::ChargeRequest sent{{~0ULL, 2}, 3, 57000, "10.0.0.1:7001", 2, ~0ULL - 1, true};
-  const auto asks = Carried({sent});
-  ASSERT_EQ(asks.size(), 1U);
-  const auto& ask = std::get<limits::ChargeRequest>(asks[0]);
-  EXPECT_EQ(ask.charge, sent.charge);
-  EXPECT_EQ(ask.tenant, sent.tenant);
-  EXPECT_EQ(ask.cost, sent.cost);
-  EXPECT_EQ(ask.reply_to, sent.reply_to);
-  EXPECT_EQ(ask.forwards, sent.forwards);
-  EXPECT_EQ(ask.unresponsive_owner, sent.unresponsive_owner);
-  EXPECT_TRUE(ask.declined);
+  const auto decoded_messages = RoundTrip({sent});
+  ASSERT_EQ(decoded_messages.size(), 1U);
+  const auto& request = std::get<limits::ChargeRequest>(decoded_messages[0]);
+  EXPECT_EQ(request.charge, sent.charge);
+  EXPECT_EQ(request.tenant, sent.tenant);
+  EXPECT_EQ(request.cost, sent.cost);
+  EXPECT_EQ(request.reply_to, sent.reply_to);
+  EXPECT_EQ(request.forwards, sent.forwards);
+  EXPECT_EQ(request.unresponsive_owner, sent.unresponsive_owner);
+  EXPECT_TRUE(request.declined);
 }
 
-TEST(LimitCodecTest, AnswersAndRefundsSurviveTheWire) {
+TEST(LimitCodecTest, AnswersAndRefundsRoundTrip) {
   const auto messages =
-      Carried({limits::ChargeResponse{{1, 2}, false, 1234ms, "node-a"}, limits::ChargeRefund{{5, 6}, 7}});
+      RoundTrip({limits::ChargeResponse{{1, 2}, false, 1234ms, "node-a"}, limits::ChargeRefund{{5, 6}, 7}});
   ASSERT_EQ(messages.size(), 2U);
-  const auto& answer = std::get<limits::ChargeResponse>(messages[0]);
-  EXPECT_EQ(answer.charge, (limits::ChargeId{1, 2}));
-  EXPECT_FALSE(answer.admitted);
-  EXPECT_EQ(answer.retry_after, Duration(1234ms));
-  EXPECT_EQ(answer.owner, "node-a");
+  const auto& response = std::get<limits::ChargeResponse>(messages[0]);
+  EXPECT_EQ(response.charge, (limits::ChargeId{1, 2}));
+  EXPECT_FALSE(response.admitted);
+  EXPECT_EQ(response.retry_after, Duration(1234ms));
+  EXPECT_EQ(response.owner, "node-a");
   const auto& refund = std::get<limits::ChargeRefund>(messages[1]);
   EXPECT_EQ(refund.charge, (limits::ChargeId{5, 6}));
   EXPECT_EQ(refund.tenant, 7U);
 }
 
-// Whoever comes back at the time that it was told finds the bucket full enough.
-TEST(LimitCodecTest, ATimeIsRoundedUpToTheWiresUnit) {
-  const auto messages = Carried({limits::ChargeResponse{{1, 2}, false, 1234001us, "a"}});
+// Rounding down would let a client retry before its bucket is full enough.
+TEST(LimitCodecTest, RetryAfterIsRoundedUpToMilliseconds) {
+  const auto messages = RoundTrip({limits::ChargeResponse{{1, 2}, false, 1234001us, "a"}});
   EXPECT_EQ(std::get<limits::ChargeResponse>(messages.at(0)).retry_after, Duration(1235ms));
 }
 
-TEST(LimitCodecTest, ProbesOfEachKindSurviveTheWire) {
+TEST(LimitCodecTest, ProbesOfEachKindRoundTrip) {
   using Kind = limits::OwnerProbe::Kind;
   for (const Kind kind : {Kind::Probe, Kind::Reply, Kind::Survey, Kind::SurveyReply, Kind::Relay, Kind::RelayReply}) {
-    const auto messages = Carried({limits::OwnerProbe{kind, 1, 2, "10.0.0.2:7001", 65}});
+    const auto messages = RoundTrip({limits::OwnerProbe{kind, 1, 2, "10.0.0.2:7001", 65}});
     const auto& probe = std::get<limits::OwnerProbe>(messages.at(0));
     EXPECT_EQ(probe.kind, kind);
     EXPECT_EQ(probe.from, 1U);
@@ -64,8 +64,8 @@
   }
 }
 
-TEST(LimitCodecTest, HandOversSurviveTheWire) {
-  const auto messages = Carried({limits::BucketHandoff{1, 2, {3, 4}, -1234.5, false, 12, true}});
+TEST(LimitCodecTest, HandOversRoundTrip) {
+  const auto messages = RoundTrip({limits::BucketHandoff{1, 2, {3, 4}, -1234.5, false, 12, true}});
   const auto& message = std::get<limits::BucketHandoff>(messages.at(0));
   EXPECT_EQ(message.tenant, 1U);
   EXPECT_EQ(message.from, 2U);
@@ -82,15 +82,15 @@
   return LimitMessageFromWire(*flatbuffers::GetRoot<wire::LimitMessage>(builder.GetBufferPointer()));
 }
 
-TEST(LimitCodecTest, KindsOfANewerVersionAreLeftOut) {
+TEST(LimitCodecTest, UnknownKindsAreSkipped) {
   constexpr std::uint8_t kProbe = 4;
   EXPECT_TRUE(Decoded(kProbe, 5));
   for (const int unknown : {6, 255}) EXPECT_FALSE(Decoded(kProbe, static_cast<std::uint8_t>(unknown))) << unknown;
   for (const int unknown : {0, 6, 255}) EXPECT_FALSE(Decoded(static_cast<std::uint8_t>(unknown), 0)) << unknown;
 }
 
-// A tenant of a thousand requests a second costs its owner's link about 0.3 MB a second each way.
-TEST(LimitCodecTest, AnAskAndItsAnswerAreSmall) {
+// With these sizes, a tenant with 1000 requests/s costs its owner's link about 0.3 MB/s in each direction.
+TEST(LimitCodecTest, EncodedSizesOfAskAndAnswer) {
   const auto size = [](const limits::LimitMessage& message) {
     serving::PeerReport report;
     report.scope = serving::ReportScope::kLimits;
--- a/tests/gateway/quarantine_store_test.cc
+++ b/tests/gateway/quarantine_store_test.cc
@@ -1,4 +1,5 @@
-// Requests in quarantine outlive the loss of all nodes, through a store that refuses, conflicts and loses answers.
+// Tests that quarantined requests survive the loss of all nodes, with a store that refuses calls, reports conflicts and
+// loses responses.
 #include "src/gateway/quarantine_store.h"
 
 #include <map>
@@ -14,10 +15,10 @@
 
 constexpr std::uint64_t kRequest = 7;
 
-// One table that answers on the loop.
-class TableStore final : public ObjectStore {
+// In-memory store that responds on the event loop.
+class InMemoryStore final : public ObjectStore {
  public:
-  explicit TableStore(boost::asio::io_context& loop) : loop_(loop) {}
+  explicit InMemoryStore(boost::asio::io_context& loop) : loop_(loop) {}
 
   void List(const std::string& /*kind*/, std::function<void(absl::StatusOr<ObjectList>)> done) override {
     done(ObjectList{});
@@ -29,40 +30,40 @@
   void Write(const std::string& kind, const StoredObject& object,
              std::function<void(absl::StatusOr<StoredObject>)> done) override {
     ++writes;
-    if (!up) return Post(done, absl::UnavailableError("down"));
-    StoredObject& held = objects_[kind + "/" + object.name];
-    if (conflicts-- > 0) ++held.revision;
-    if (held.revision != object.revision) return Post(done, absl::AbortedError("another write won"));
-    held = object;
-    ++held.revision;
-    if (lost-- > 0) return Post(done, absl::DeadlineExceededError("no answer"));
-    Post(done, held);
+    if (!available) return Post(done, absl::UnavailableError("down"));
+    StoredObject& stored = objects_[kind + "/" + object.name];
+    if (pending_conflicts-- > 0) ++stored.revision;
+    if (stored.revision != object.revision) return Post(done, absl::AbortedError("another write won"));
+    stored = object;
+    ++stored.revision;
+    if (lost_responses-- > 0) return Post(done, absl::DeadlineExceededError("no answer"));
+    Post(done, stored);
   }
   void Read(const std::string& kind, const std::string& name,
             std::function<void(absl::StatusOr<StoredObject>)> done) override {
     ++reads;
-    if (!up) return Post(done, absl::UnavailableError("down"));
-    const auto held = objects_.find(kind + "/" + name);
-    if (held == objects_.end()) return Post(done, absl::NotFoundError("none"));
-    Post(done, held->second);
+    if (!available) return Post(done, absl::UnavailableError("down"));
+    const auto stored = objects_.find(kind + "/" + name);
+    if (stored == objects_.end()) return Post(done, absl::NotFoundError("none"));
+    Post(done, stored->second);
   }
 
-  bool up = true;
-  int conflicts = 0;
-  int lost = 0;
+  bool available = true;
+  int pending_conflicts = 0;
+  int lost_responses = 0;
   int reads = 0;
   int writes = 0;
 
  private:
-  void Post(const std::function<void(absl::StatusOr<StoredObject>)>& done, absl::StatusOr<StoredObject> answer) {
-    boost::asio::post(loop_, [done, answer = std::move(answer)] { done(answer); });
+  void Post(const std::function<void(absl::StatusOr<StoredObject>)>& done, absl::StatusOr<StoredObject> response) {
+    boost::asio::post(loop_, [done, response = std::move(response)] { done(response); });
   }
 
   boost::asio::io_context& loop_;
   std::map<std::string, StoredObject> objects_;
 };
 
-// One life of a node, with the time that it steps for.
+// One incarnation of a node with its gateway and quarantine store.
 class Node {
  public:
   Node(boost::asio::io_context& loop, ObjectStore& store, bool reads)
@@ -71,7 +72,7 @@
         gateway_(loop, GatewaySettings{}, EngineProtocol(EngineProtocolFields{}), log_, 1),
         quarantine_(gateway_, store, reads, 1) {}
 
-  void NoteEnds(int from, int to) {
+  void RecordCrashes(int from, int to) {
     const Time now = gateway_.Now();
     for (int i = from; i <= to; ++i) {
       gateway_.core().crashes().RecordCrash(kRequest, serving::EngineKey(static_cast<std::uint64_t>(i)), now, now);
@@ -96,12 +97,12 @@
   QuarantineStore quarantine_;
 };
 
-TEST(QuarantineStoreTest, ANodeThatStartsAfterAllWereLostKnowsWhatIsInQuarantine) {
+TEST(QuarantineStoreTest, NodeStartedAfterLossOfAllNodesKnowsTheQuarantine) {
   boost::asio::io_context loop;
-  TableStore store(loop);
+  InMemoryStore store(loop);
   {
     Node node(loop, store, false);
-    node.NoteEnds(1, 3);
+    node.RecordCrashes(1, 3);
     node.Run(1200ms);
   }
   Node next(loop, store, true);
@@ -109,53 +110,53 @@
   next.Run(1200ms);
   EXPECT_TRUE(next.QuarantinedCount());
   EXPECT_EQ(store.writes, 1);
-  // It was told, and adds nothing.
+  // The second node has read the marks and has none of its own to add.
   EXPECT_EQ(store.reads, 2);
 }
 
-TEST(QuarantineStoreTest, WithoutQuarantineANodeReadsOnceAtItsStart) {
+TEST(QuarantineStoreTest, WithoutQuarantineReadsOnlyOnceAtStart) {
   boost::asio::io_context loop;
-  TableStore store(loop);
+  InMemoryStore store(loop);
   Node node(loop, store, true);
   node.Run(30ms);
   EXPECT_EQ(store.reads, 1);
-  node.NoteEnds(1, 2);
+  node.RecordCrashes(1, 2);
   node.Run(1200ms);
   EXPECT_EQ(store.reads, 1);
   EXPECT_EQ(store.writes, 0);
-  Node first(loop, store, false);  // The whole system starts for the first time: there is nothing.
-  first.Run(200ms);
+  Node first_start_node(loop, store, false);  // At the first start of the whole system there is nothing to read.
+  first_start_node.Run(200ms);
   EXPECT_EQ(store.reads, 1);
 }
 
-TEST(QuarantineStoreTest, ConflictsAndLostAnswersAreTriedAgain) {
+TEST(QuarantineStoreTest, RetriesConflictsAndLostResponses) {
   boost::asio::io_context loop;
-  TableStore store(loop);
-  store.conflicts = 1;
-  store.lost = 1;
+  InMemoryStore store(loop);
+  store.pending_conflicts = 1;
+  store.lost_responses = 1;
   Node node(loop, store, false);
-  node.NoteEnds(1, 3);
+  node.RecordCrashes(1, 3);
   node.Run(4000ms);
-  EXPECT_EQ(store.writes, 2);  // What the second wrote was found there, though its answer was lost.
+  EXPECT_EQ(store.writes, 2);  // The response of the second write was lost, but the next read found its content.
   Node next(loop, store, true);
   next.Run(1200ms);
   EXPECT_TRUE(next.QuarantinedCount());
 }
 
-TEST(QuarantineStoreTest, AStoreThatIsDownIsAskedMoreAndMoreSeldom) {
+TEST(QuarantineStoreTest, BacksOffWhileTheStoreIsDown) {
   boost::asio::io_context loop;
-  TableStore store(loop);
-  store.up = false;
+  InMemoryStore store(loop);
+  store.available = false;
   Node node(loop, store, true);
-  node.NoteEnds(1, 3);
+  node.RecordCrashes(1, 3);
   node.Run(5000ms);
   EXPECT_LE(store.reads, 4);
-  store.up = true;
+  store.available = true;
   node.Run(8000ms);
   EXPECT_EQ(store.writes, 1);
 }
 
-TEST(QuarantineStoreTest, WhatDoesNotDecodeIsLeftOut) {
+TEST(QuarantineStoreTest, SkipsMarksThatDoNotDecode) {
   constexpr std::int64_t kNow = 1'000'000;
   EXPECT_TRUE(DecodeQuarantine("garbage", kNow).empty());
   EXPECT_TRUE(DecodeQuarantine(R"({"marks":[1,{"request":"x"},{"request":1,"engine":2}]})", kNow).empty());
@@ -165,7 +166,7 @@
   EXPECT_EQ(decoded[0].request, marks[0].request);
   EXPECT_EQ(decoded[0].engine, marks[0].engine);
   EXPECT_EQ(decoded[0].age, Duration(2000ms));
-  // A clock that was ahead makes no age below zero.
+  // Ages are never negative, even if the writer's clock was ahead.
   EXPECT_EQ(DecodeQuarantine(EncodeQuarantine(marks, kNow), 0)[0].age, Duration(0ms));
 }
 
--- a/tests/gateway/traffic_meter_test.cc
+++ b/tests/gateway/traffic_meter_test.cc
@@ -1,4 +1,4 @@
-// Bytes are told apart by what they are for and how far they go.
+// Tests that bytes are counted by kind and locality.
 #include "src/gateway/traffic_meter.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace saltquay::gateway {
 namespace {
 
-TEST(TrafficMeterTest, ZonesOfTheRegionAndOtherRegionsAreToldApart) {
+TEST(TrafficMeterTest, DistinguishesOwnZoneOwnRegionAndOtherRegions) {
   const serving::Topology topology("a1", {{"a1", "a"}, {"a2", "a"}, {"b1", "b"}}, {});
   TrafficMeter meter(topology);
   meter.Count(TrafficKind::kRequest, "a1", 1);
@@ -19,7 +19,7 @@
   EXPECT_EQ(meter.Summary(), R"("request":[1,20,300],"records":[0,0,4000])");
 }
 
-TEST(TrafficMeterTest, WhereNoRegionIsNamedNothingIsFar) {
+TEST(TrafficMeterTest, WithoutRegionsNothingIsInAnotherRegion) {
   const serving::Topology topology("a", {}, {});
   TrafficMeter meter(topology);
   meter.Count(TrafficKind::kReport, "b", 5);
