--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -1,4 +1,4 @@
-// The adapter: objects into types, and the store's calls over real sockets.
+// Tests the platform adapter: parsing of store objects, and store calls over real sockets.
 #include <gtest/gtest.h>
 
 #include <rapidcheck/gtest.h>
@@ -21,7 +21,7 @@
          body;
 }
 
-TEST(RecordsTest, AConfigurationDecodes) {
+TEST(RecordsTest, ParsesConfiguration) {
   const auto config = ParseConfig({"main", 3, R"({"version":7,"routes":[
     {"name":"r1","host":"h","path_prefix":"/a/","kind":"safe","timeout_ms":4000,"target_latency_ms":600,"priority":1,
      "service":"s1","max_attempts":2},
@@ -39,7 +39,7 @@
   EXPECT_EQ(config->limits.head_bytes, 99U);
 }
 
-TEST(RecordsTest, TenantsDecode) {
+TEST(RecordsTest, ParsesTenants) {
   const auto config = ParseConfig({"main", 3, R"({"version":7,"services":[],"routes":[
     {"host":"h","path_prefix":"/a/","service":"s","allow_anonymous":true},{"host":"h","path_prefix":"/b/","service":"s"}],
     "tenants":[{"name":"t1","api_keys":["k1","k2"],"priority":1},{"name":"t2","api_keys":[]}]})"});
@@ -60,7 +60,7 @@
        R"({"version":7,"services":[],"routes":[],"tenants":[{"name":"t1","api_keys":["k"])" + limit + "}]}"});
 }
 
-TEST(RecordsTest, LimitsOfTenantsDecode) {
+TEST(RecordsTest, ParsesTenantLimits) {
   const auto in_tokens = ParseLimitOf(R"(,"unit":"tokens","rate_per_s":29000,"burst":58000,"plain_tokens":40)");
   ASSERT_TRUE(in_tokens.ok()) << in_tokens.status();
   EXPECT_EQ(in_tokens->tenants[0].limit, (limits::TenantLimit{29000, 58000, limits::LimitUnit::Tokens, 40}));
@@ -71,8 +71,9 @@
   EXPECT_EQ(ParseLimitOf(R"(,"rate_per_s":0,"burst":9,"unit":"tokens")")->tenants[0].limit, std::nullopt);
 }
 
-// The error keeps the version in force, and names the tenant.
-TEST(RecordsTest, ALimitThatCannotBeHeldIsATypedError) {
+// An invalid limit must reject the whole configuration, so that the current version stays in force. The error names the
+// tenant.
+TEST(RecordsTest, InvalidTenantLimitIsCorrupt) {
   for (const char* limit : {R"(,"unit":"bytes","rate_per_s":5)", R"(,"unit":7,"rate_per_s":5)", R"(,"rate_per_s":-5)",
                             R"(,"rate_per_s":5,"burst":-1)", R"(,"rate_per_s":5,"plain_tokens":-1,"unit":"tokens")",
                             R"(,"rate_per_s":"5")", R"(,"unit":"bytes")"}) {
@@ -83,7 +84,7 @@
   EXPECT_NE(ParseLimitOf(R"(,"rate_per_s":-5)").status().message().find("'t1'"), std::string::npos);
 }
 
-TEST(RecordsTest, WhatDoesNotDecodeIsATypedError) {
+TEST(RecordsTest, InvalidConfigurationIsCorrupt) {
   for (const char* text :
        {"", "[]", "{}", R"({"version":"x","routes":[],"services":[]})", R"({"version":1,"routes":[{}],"services":[]})",
         R"({"version":1,"routes":[],"services":[],"tenants":[{"name":"t"}]})"}) {
@@ -94,10 +95,10 @@
   }
 }
 
-// What the platform says is the system's to set, and what is for the system alone.
+// Fields that, according to the platform, only the system may set or that are meant only for the system.
 class SystemFieldTest : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(SystemFieldTest, NeverPassesFromAClient) {
+TEST_P(SystemFieldTest, IsNeverForwardedFromAClient) {
   const gateway::EngineProtocol protocol(PlatformEngineFields());
   http::RequestHead client;
   client.method = "POST";
@@ -124,14 +125,14 @@
                                            "X-Expect-Version", "X-Request-Priority", "X-Duty-Holder",
                                            "X-Fencing-Token"));
 
-TEST(EngineNamesTest, TheKeyIsReadAndTheTenantTold) {
+TEST(EngineNamesTest, DecodesTheApiKey) {
   const gateway::EngineProtocol protocol(PlatformEngineFields());
   http::RequestHead client;
   client.fields.Add("X-Credential", "k1");
   EXPECT_EQ(protocol.DecodeRequest(client).api_key, "k1");
 }
 
-TEST(RecordsTest, AnEngineDecodes) {
+TEST(RecordsTest, ParsesEngineRecord) {
   const auto engine = ParseEngine({"i-1", 1, R"({"service":"s","address":"1.2.3.4:5","zone":"z","slots":64,
     "state":"draining","stage":"decode","sequence":4,"cold_remaining_ms":0,"version":"v1"})"});
   ASSERT_TRUE(engine.ok());
@@ -140,15 +141,16 @@
   EXPECT_EQ(engine->stage, serving::EngineStage::kDecode);
 }
 
-TEST(RecordsTest, AnEngineTellsWhichOfItsLivesItIs) {
+TEST(RecordsTest, ParsesEngineStartTime) {
   const auto engine = ParseEngine(
       {"i-1", 1, R"({"service":"s","address":"1.2.3.4:5","slots":4,"state":"ready","born":1796289000123})"});
   ASSERT_TRUE(engine.ok());
   EXPECT_EQ(engine->started_ms, 1796289000123);
 }
 
-// Guards against: an entry of another writer is taken for an engine, in part or with what it lacks made up.
-TEST(RecordsTest, AnEntryOfAnotherWriterNamesNoEngine) {
+// Guards against accepting an object of another writer as an engine record, in part or with defaults for missing
+// members.
+TEST(RecordsTest, RejectsObjectsThatAreNotEngineRecords) {
   for (const char* const text : {
            R"("bytes")",
            "",
@@ -182,8 +184,8 @@
 constexpr char kEngine[] = R"({"service":"s","address":"1.2.3.4:5","zone":"z","slots":4,"state":"ready",
     "stage":"decode","sequence":4,"spot":false,"born":1796289000123})";
 
-// Guards against a name that is passed on in fields of requests and breaks out of them.
-TEST(RecordsTest, AnEntryWhoseNameIsNoIdNamesNoEngine) {
+// Guards against header injection: engine ids are sent in header fields of requests.
+TEST(RecordsTest, RejectsInvalidEngineIds) {
   for (const std::string name : {"", "a b", "a\r\nX-Stage: decode", "\xC3\xA9"}) {
     EXPECT_FALSE(ParseEngine({name, 1, kEngine}).ok()) << name;
   }
@@ -191,14 +193,14 @@
   EXPECT_TRUE(ParseEngine({"s1-2.a_b", 1, kEngine}).ok());
 }
 
-// Any value in place of any field: a record in whole or a typed error.
-TEST(RecordsTest, AnEngineIsTakenInWholeOrRefused) {
+// Replaces each member by values of any type: the record either parses completely or is rejected as corrupt.
+TEST(RecordsTest, EngineRecordParsesCompletelyOrIsRejected) {
   const std::vector<nlohmann::json> values = {nullptr, true,       0,  -1,  7,     1.5,
                                               1e300,   UINT64_MAX, "", "x", {"x"}, {{"x", 1}}};
-  const nlohmann::json whole = nlohmann::json::parse(kEngine);
-  for (const auto& [field, usual] : whole.items()) {
+  const nlohmann::json valid_record = nlohmann::json::parse(kEngine);
+  for (const auto& [field, valid_value] : valid_record.items()) {
     for (const nlohmann::json& value : values) {
-      nlohmann::json entry = whole;
+      nlohmann::json entry = valid_record;
       entry[field] = value;
       const auto engine = ParseEngine({"i-1", 1, entry.dump()});
       if (!engine.ok()) {
@@ -216,23 +218,23 @@
   }
 }
 
-TEST(ReadableTextTest, OnlyWhatCannotBeReadIsReplaced) {
+TEST(JsonSanitizerTest, ReplacesOnlyInvalidText) {
   const std::string pair = R"({"a":"\ud83d\ude00 \\ud800 \n é"})";
   EXPECT_EQ(SanitizeJson(pair), pair);
   EXPECT_EQ(SanitizeJson(R"("\ud800\ud83d\ude00\udc00")"), R"("\ufffd\ud83d\ude00\ufffd")");
   EXPECT_EQ(SanitizeJson("\"a\xff\""), "\"a\xEF\xBF\xBD\"");
-  for (const std::string cut : {"\\", "\\u", "\\ud8", "\\ud800", "\\ud800\\"}) {
-    EXPECT_LE(SanitizeJson(cut).size(), cut.size() + 2) << cut;
+  for (const std::string truncated : {"\\", "\\u", "\\ud8", "\\ud800", "\\ud800\\"}) {
+    EXPECT_LE(SanitizeJson(truncated).size(), truncated.size() + 2) << truncated;
   }
 }
 
-RC_GTEST_PROP(ReadableTextProperty, ItsTextIsReadOnceAndStaysAsItIs, (const std::string& text)) {
+RC_GTEST_PROP(JsonSanitizerProperty, IsIdempotent, (const std::string& text)) {
   const std::string readable = SanitizeJson(text);
   RC_ASSERT(SanitizeJson(readable) == readable);
 }
 
-// Whatever a string holds, the JSON around it can be read.
-RC_GTEST_PROP(ReadableTextProperty, AnyBytesInAStringLeaveTheJsonReadable, (std::string bytes)) {
+// The JSON around a string can be parsed whatever bytes the string contains.
+RC_GTEST_PROP(JsonSanitizerProperty, ResultParsesForAnyBytesInAString, (std::string bytes)) {
   std::erase_if(bytes, [](char byte) { return byte == '"' || byte == '\\' || (byte >= 0 && byte < ' '); });
   RC_ASSERT(nlohmann::json::accept(SanitizeJson("{\"a\":\"" + bytes + "\"}")));
 }
@@ -251,14 +253,14 @@
     }
     loop_.restart();
     loop_.poll();
-    return result ? *result : absl::InternalError("nothing came");
+    return result ? *result : absl::InternalError("no response within 5 s");
   }
   boost::asio::io_context loop_;
 };
 
 constexpr char kObject[] = R"({"metadata":{"name":"a","revision":5},"spec":{"x":1},"status":null})";
 
-TEST_F(StoreTest, ListsGoOverPages) {
+TEST_F(StoreTest, ListsAllPages) {
   std::vector<std::string> targets;
   ScriptedServer server({[&](ScriptedConnection& connection) {
     targets.push_back(connection.ReadHead());
@@ -276,13 +278,13 @@
   EXPECT_NE(targets[1].find("/objects/servers?after=a "), std::string::npos);
 }
 
-// Guards against one entry of another writer, with bytes or a form that can't be read, that hides all others.
-TEST_F(StoreTest, AnEntryThatCannotBeReadDoesNotHideTheOthers) {
-  const std::string bad_bytes = "{\"metadata\":{\"name\":\"b\",\"revision\":6},\"spec\":{\"y\":\"\xff\xc3(\"}}";
-  const std::string bad_name = "{\"metadata\":{\"name\":\"a\xff\",\"revision\":7},\"spec\":{}}";
+// Guards against one malformed entry of another writer that makes the whole collection unreadable.
+TEST_F(StoreTest, MalformedEntryDoesNotHideTheOthers) {
+  const std::string invalid_utf8 = "{\"metadata\":{\"name\":\"b\",\"revision\":6},\"spec\":{\"y\":\"\xff\xc3(\"}}";
+  const std::string invalid_utf8_name = "{\"metadata\":{\"name\":\"a\xff\",\"revision\":7},\"spec\":{}}";
   const std::vector<std::string> entries = {kObject,
-                                            bad_bytes,
-                                            bad_name,
+                                            invalid_utf8,
+                                            invalid_utf8_name,
                                             R"({"metadata":{"name":"c"},"spec":{"x":1}})",
                                             R"({"metadata":{"name":8,"revision":"9"},"spec":{"x":1}})",
                                             "[]",
@@ -303,13 +305,13 @@
   EXPECT_EQ(list->items[1].name, "b");
   EXPECT_NE(list->items[2].name, "a");
   EXPECT_EQ(list->items[3].name, "c");
-  EXPECT_EQ(list->items[3].content, "") << "an entry without a revision is not taken in part";
+  EXPECT_EQ(list->items[3].content, "") << "an entry without a revision must not be accepted in part";
   for (std::size_t i = 4; i < 7; ++i) EXPECT_EQ(list->items[i].name, "") << entries[i];
   EXPECT_EQ(list->items[7].name, "d");
 
   ScriptedServer changes({[&](ScriptedConnection& connection) {
     connection.ReadHead();
-    connection.Write(Reply(200, R"({"events":[{"object":)" + bad_bytes + R"(},{"gone":5,"object":[]},7,{"object":)" +
+    connection.Write(Reply(200, R"({"events":[{"object":)" + invalid_utf8 + R"(},{"gone":5,"object":[]},7,{"object":)" +
                                     kObject + R"(}],"at":11})"));
     connection.ReadToEnd();
   }});
@@ -320,7 +322,7 @@
   EXPECT_EQ(events->events[3].object.content, R"({"x":1})");
 }
 
-TEST_F(StoreTest, ErrorsSayWhetherAWriteMayHaveHappened) {
+TEST_F(StoreTest, ErrorCodeShowsWhetherAWriteMayHaveHappened) {
   const auto write = [](auto& client, auto done) { client.Write("k", {"a", 4, "{}"}, done); };
   ScriptedServer conflict({[](ScriptedConnection& connection) {
     connection.ReadUntil("}}");
@@ -328,19 +330,19 @@
     connection.ReadToEnd();
   }});
   EXPECT_TRUE(absl::IsAborted(Run<gateway::StoredObject>(conflict.address(), write).status()));
-  ScriptedServer refuses({[](ScriptedConnection& connection) {
+  ScriptedServer refusing({[](ScriptedConnection& connection) {
     connection.ReadUntil("}}");
     connection.Write(Reply(503, ""));
     connection.ReadToEnd();
   }});
-  EXPECT_TRUE(absl::IsUnavailable(Run<gateway::StoredObject>(refuses.address(), write).status()));
-  ScriptedServer lost({[](ScriptedConnection& connection) { connection.ReadUntil("}}"); }});
-  EXPECT_TRUE(absl::IsDeadlineExceeded(Run<gateway::StoredObject>(lost.address(), write).status()));
+  EXPECT_TRUE(absl::IsUnavailable(Run<gateway::StoredObject>(refusing.address(), write).status()));
+  ScriptedServer closing({[](ScriptedConnection& connection) { connection.ReadUntil("}}"); }});
+  EXPECT_TRUE(absl::IsDeadlineExceeded(Run<gateway::StoredObject>(closing.address(), write).status()));
   ScriptedServer silent({[](ScriptedConnection& connection) { connection.ReadToEnd(); }});
   EXPECT_TRUE(absl::IsDeadlineExceeded(Run<gateway::StoredObject>(silent.address(), write).status()));
 }
 
-TEST_F(StoreTest, WatchesTellChangesAndForgottenHistory) {
+TEST_F(StoreTest, WatchReturnsChangesAndReportsMissingHistory) {
   ScriptedServer server({[](ScriptedConnection& connection) {
     connection.ReadHead();
     connection.Write(Reply(200, std::string(R"({"events":[{"gone":true,"object":)") + kObject + R"(}],"at":9})"));
@@ -351,12 +353,12 @@
   ASSERT_TRUE(events.ok());
   EXPECT_TRUE(events->events[0].gone);
   EXPECT_EQ(events->at, 9);
-  ScriptedServer forgot({[](ScriptedConnection& connection) {
+  ScriptedServer compacted({[](ScriptedConnection& connection) {
     connection.ReadHead();
     connection.Write(Reply(410, ""));
     connection.ReadToEnd();
   }});
-  EXPECT_TRUE(absl::IsOutOfRange(Run<gateway::ObjectEvents>(forgot.address(), watch).status()));
+  EXPECT_TRUE(absl::IsOutOfRange(Run<gateway::ObjectEvents>(compacted.address(), watch).status()));
   ScriptedServer garbage({[](ScriptedConnection& connection) {
     connection.ReadHead();
     connection.Write(Reply(200, R"({"events":[{}]})"));
