--- a/tests/platform/soak_check_test.py
+++ b/tests/platform/soak_check_test.py
@@ -1,4 +1,4 @@
-"""The soak's own checks must notice each breach, or its silence means nothing."""
+"""Tests that the soak test detects each kind of violation."""
 
 import argparse
 import asyncio
@@ -11,8 +11,8 @@
 
 from soak import Soak
 from soak_gateway import Gateway
-from soak_truth import LIMIT_WINDOW_S, LIMITS, RECOVER, Truth
-from soak_world import DutyPlatform, Engine, Store
+from soak_oracle import LIMIT_WINDOW_S, LIMITS, RECOVERY_S, Oracle
+from soak_standins import DutyPlatform, Engine, Store
 
 
 def soak():
@@ -25,107 +25,107 @@
 
 
 class SoakCheckTest(unittest.TestCase):
-    def test_work_that_may_run_once_and_ran_twice(self):
-        truth = Truth()
-        truth.ran("r", b"ask r")
-        truth.ran("r", b"ask r")
-        truth.told["r"] = ("once", "served")
-        truth.check()
-        self.assertEqual(len(truth.breaks), 1)
-
-    def test_refused_work_that_ran(self):
-        truth = Truth()
-        truth.ran("r", b"ask r")
-        truth.told["r"] = ("lone", "refused")
-        truth.check()
-        self.assertEqual(len(truth.breaks), 1)
-
-    def test_a_request_that_ends_engines_and_is_sent_on(self):
-        truth = Truth()
-        fatal = truth.fatal(b"fatal 1")
-        fatal.ends = [1.0, 2.0, 3.0, 7.0]
+    def test_detects_second_run_of_at_most_once_request(self):
+        oracle = Oracle()
+        oracle.record_run("r", b"ask r")
+        oracle.record_run("r", b"ask r")
+        oracle.outcomes["r"] = ("once", "served")
+        oracle.check()
+        self.assertEqual(len(oracle.violations), 1)
+
+    def test_detects_run_of_refused_request(self):
+        oracle = Oracle()
+        oracle.record_run("r", b"ask r")
+        oracle.outcomes["r"] = ("lone", "refused")
+        oracle.check()
+        self.assertEqual(len(oracle.violations), 1)
+
+    def test_detects_runs_of_fatal_request_after_third_crash(self):
+        oracle = Oracle()
+        fatal = oracle.fatal(b"fatal 1")
+        fatal.crashes = [1.0, 2.0, 3.0, 7.0]
         fatal.runs = [0.9, 1.9, 2.9, 5.9, 6.1, 6.2, 6.3]
-        truth.check()
-        self.assertEqual(truth.breaks, [])
+        oracle.check()
+        self.assertEqual(oracle.violations, [])
         fatal.runs.append(6.4)
-        truth.check()
-        self.assertEqual(len(truth.breaks), 1)
+        oracle.check()
+        self.assertEqual(len(oracle.violations), 1)
 
-    def test_a_tenant_over_its_limit_in_some_window(self):
-        truth = Truth()
+    def test_detects_tenant_over_its_limit_in_a_window(self):
+        oracle = Oracle()
         limit = LIMITS["of-requests"]
-        allowed = int(limit.most_in_window())
+        allowed = int(limit.max_in_window())
         head = {"x-tenant": "of-requests"}
         for number in range(allowed):
-            truth.charged(number * LIMIT_WINDOW_S / allowed, f"r{number}", head)
-            truth.charged(number * LIMIT_WINDOW_S / allowed, f"r{number}", head)  # A second try counts once.
-        truth.check()
-        self.assertEqual(truth.breaks, [])
-        truth.charged(LIMIT_WINDOW_S * 0.999, "one more", head)
-        truth.check()
-        self.assertEqual(len(truth.breaks), 1)
-
-    def test_tokens_count_by_the_request(self):
-        truth = Truth()
-        truth.charged(1, "r1", {"x-tenant": "of-tokens", "x-token-count": "300,64"})
-        truth.charged(2, "r2", {"x-tenant": "of-tokens"})
-        truth.charged(2, "r3", {"x-tenant": "tenant-1"})
-        self.assertEqual(truth.limited["of-tokens"].worst_window(), (364 + LIMITS["of-tokens"].plain, 2))
-
-    def test_a_limit_that_is_told_to_a_tenant_without_one(self):
+            oracle.record_cost(number * LIMIT_WINDOW_S / allowed, f"r{number}", head)
+            oracle.record_cost(number * LIMIT_WINDOW_S / allowed, f"r{number}", head)  # A retry is not counted again.
+        oracle.check()
+        self.assertEqual(oracle.violations, [])
+        oracle.record_cost(LIMIT_WINDOW_S * 0.999, "one more", head)
+        oracle.check()
+        self.assertEqual(len(oracle.violations), 1)
+
+    def test_counts_tokens_of_each_request(self):
+        oracle = Oracle()
+        oracle.record_cost(1, "r1", {"x-tenant": "of-tokens", "x-token-count": "300,64"})
+        oracle.record_cost(2, "r2", {"x-tenant": "of-tokens"})
+        oracle.record_cost(2, "r3", {"x-tenant": "tenant-1"})
+        self.assertEqual(oracle.limited["of-tokens"].worst_window(), (364 + LIMITS["of-tokens"].plain, 2))
+
+    def test_detects_limit_refusal_for_tenant_without_limit(self):
         run = soak()
-        run.truth.tenants.update({"r1": "of-tokens", "r2": "tenant-1"})
+        run.oracle.tenants.update({"r1": "of-tokens", "r2": "tenant-1"})
         over = b"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n"
         self.assertEqual(run.judge("safe", "r1", over), "refused")
-        self.assertEqual(run.truth.breaks, [])
+        self.assertEqual(run.oracle.violations, [])
         run.judge("safe", "r2", over)
-        self.assertEqual(len(run.truth.breaks), 1)
+        self.assertEqual(len(run.oracle.violations), 1)
 
-    def test_a_changed_body(self):
-        truth = Truth()
-        truth.ran("r", b"ask other")
-        self.assertEqual(len(truth.breaks), 1)
+    def test_detects_changed_body(self):
+        oracle = Oracle()
+        oracle.record_run("r", b"ask other")
+        self.assertEqual(len(oracle.violations), 1)
 
-    def test_an_answer_of_another_or_without_signature(self):
+    def test_detects_foreign_and_unsigned_responses(self):
         run = soak()
         run.judge("safe", "r1", b"HTTP/1.1 200 OK\r\nX-Server-Stamp: e.r2\r\n\r\ndone r2")
         run.judge("safe", "r1", b"HTTP/1.1 200 OK\r\n\r\ndone r1")
-        self.assertEqual(len(run.truth.breaks), 3)
+        self.assertEqual(len(run.oracle.violations), 3)
 
-    def test_streams_with_gaps_doubles_or_foreign_events(self):
+    def test_detects_gaps_and_duplicates_in_streams(self):
         run = soak()
         self.assertEqual(run.judge("chat", "r", stream(range(1, 9), "r")), "served")
         self.assertEqual(run.judge("chat", "r", stream(range(1, 5), "r", b"")), "stream cut")
-        self.assertEqual(run.truth.breaks, [])
+        self.assertEqual(run.oracle.violations, [])
         run.judge("chat", "r", stream([1, 2, 4, 5, 6, 7, 8], "r"))
         run.judge("chat", "r", stream([1, 2, 2, 3, 4, 5, 6, 7, 8], "r"))
-        self.assertGreaterEqual(len(run.truth.breaks), 2)
-
-    def test_a_configuration_that_is_late_at_a_gateway_in_touch(self):
-        truth, gateway = Truth(), argparse.Namespace(name="g", life=1, calm_since=90.0)
-        truth.acknowledged = {1: 100.0}
-        truth.probed(gateway, 1, 404, 102.0)  # Not yet due.
-        gateway.calm_since = 101.0
-        truth.probed(gateway, 1, 404, 103.0)  # Disturbed lately.
-        self.assertEqual(truth.breaks, [])
-        gateway.calm_since = 90.0
-        truth.probed(gateway, 1, 404, 103.0)
-        self.assertEqual(len(truth.breaks), 1)
-
-    def test_a_gateway_that_goes_back_to_an_older_configuration(self):
-        truth = Truth()
-        truth.acknowledged = {4: 0.0, 5: 0.0, 6: 0.0}
-        gateway = argparse.Namespace(name="g", life=1, calm_since=0.0)
-        truth.probed(gateway, 5, 200, 0.0)
-        truth.probed(gateway, 6, 404, 0.0)  # Not heard of yet.
-        self.assertEqual(truth.breaks, [])
-        truth.probed(gateway, 4, 404, 0.0)
-        self.assertEqual(len(truth.breaks), 1)
-        gateway.life = 2  # A new process may begin with less.
-        truth.probed(gateway, 4, 404, 0.0)
-        self.assertEqual(len(truth.breaks), 1)
-
-    def test_a_process_that_ends_by_itself(self):
+        self.assertGreaterEqual(len(run.oracle.violations), 2)
+
+    def test_detects_late_configuration_at_undisturbed_gateway(self):
+        oracle, gateway = Oracle(), argparse.Namespace(name="g", incarnation=1, undisturbed_since=90.0)
+        oracle.acknowledged = {1: 100.0}
+        oracle.check_generation(gateway, 1, 404, 102.0)  # Not due yet.
+        gateway.undisturbed_since = 101.0
+        oracle.check_generation(gateway, 1, 404, 103.0)  # Disturbed recently.
+        self.assertEqual(oracle.violations, [])
+        gateway.undisturbed_since = 90.0
+        oracle.check_generation(gateway, 1, 404, 103.0)
+        self.assertEqual(len(oracle.violations), 1)
+
+    def test_detects_return_to_older_configuration(self):
+        oracle = Oracle()
+        oracle.acknowledged = {4: 0.0, 5: 0.0, 6: 0.0}
+        gateway = argparse.Namespace(name="g", incarnation=1, undisturbed_since=0.0)
+        oracle.check_generation(gateway, 5, 200, 0.0)
+        oracle.check_generation(gateway, 6, 404, 0.0)  # Newer than any version seen at this gateway.
+        self.assertEqual(oracle.violations, [])
+        oracle.check_generation(gateway, 4, 404, 0.0)
+        self.assertEqual(len(oracle.violations), 1)
+        gateway.incarnation = 2  # A new process may start with an older version.
+        oracle.check_generation(gateway, 4, 404, 0.0)
+        self.assertEqual(len(oracle.violations), 1)
+
+    def test_detects_unexpected_process_exit(self):
         with tempfile.TemporaryDirectory() as folder:
             gateway = Gateway("", folder, 0, 0, 0, [])
             self.addCleanup(gateway.log.close)
@@ -133,9 +133,9 @@
                                           (-signal.SIGSEGV, {signal.SIGTERM}, True), (-signal.SIGTERM, set(), True),
                                           (-signal.SIGTERM, {signal.SIGTERM}, False)]:
                 gateway.process, gateway.early_signals = argparse.Namespace(returncode=code), early
-                self.assertEqual(gateway.ended_by_itself(), expected, (code, early))
+                self.assertEqual(gateway.exited_unexpectedly(), expected, (code, early))
 
-    def test_a_signal_is_early_until_the_process_writes(self):
+    def test_signal_is_early_until_process_writes_to_its_log(self):
         with tempfile.TemporaryDirectory() as folder:
             gateway = Gateway("sleep", folder, 0, 0, 0, [])
             self.addCleanup(gateway.log.close)
@@ -146,80 +146,81 @@
             gateway.send(signal.SIGHUP)
             self.assertEqual(gateway.early_signals, {signal.SIGTERM})
 
-    def test_too_few_requests_served(self):
-        truth = Truth()
-        truth.counts = {"served": 25, "refused": 75}
-        truth.check()
-        self.assertEqual(truth.breaks, [])
-        truth.counts["refused"] += 1
-        truth.check()
-        self.assertEqual(len(truth.breaks), 1)
-
-    def test_refusals_count_unless_no_gateway_could_know_a_configuration(self):
-        truth, store = Truth(), Store()
-        gateways = [argparse.Namespace(name=name, life=1) for name in ("a", "b")]
+    def test_detects_too_few_requests_served(self):
+        oracle = Oracle()
+        oracle.counts = {"served": 25, "refused": 75}
+        oracle.check()
+        self.assertEqual(oracle.violations, [])
+        oracle.counts["refused"] += 1
+        oracle.check()
+        self.assertEqual(len(oracle.violations), 1)
+
+    def test_refusals_count_unless_no_gateway_could_have_a_configuration(self):
+        oracle, store = Oracle(), Store()
+        gateways = [argparse.Namespace(name=name, incarnation=1) for name in ("a", "b")]
         store.set_available(False)
-        self.assertTrue(truth.nothing_is_known(gateways, store))
-        truth.told_outcome("r", "safe", "served", gateways[0], 1)
-        self.assertFalse(truth.nothing_is_known(gateways, store))
-        gateways[0].life = 2
-        self.assertTrue(truth.nothing_is_known(gateways, store))
+        self.assertTrue(oracle.no_configuration_known(gateways, store))
+        oracle.record_outcome("r", "safe", "served", gateways[0], 1)
+        self.assertFalse(oracle.no_configuration_known(gateways, store))
+        gateways[0].incarnation = 2
+        self.assertTrue(oracle.no_configuration_known(gateways, store))
         store.set_available(True)
-        store.answers_since -= RECOVER
-        store.set_available(True)  # It has answered all along.
-        self.assertFalse(truth.nothing_is_known(gateways, store))
+        store.responding_since -= RECOVERY_S
+        store.set_available(True)  # Must not reset the time since which it responds.
+        self.assertFalse(oracle.no_configuration_known(gateways, store))
 
-    def test_gateways_that_answer_late_take_no_time_from_the_others(self):
-        made, asked = soak(), {}
-        made.gateways = ["a", "b", "c", "d"]
+    def test_slow_gateways_take_no_time_from_the_others(self):
+        soak_run, asked = soak(), {}
+        soak_run.gateways = ["a", "b", "c", "d"]
 
         async def answer_late(gateway, *_):
             await asyncio.sleep(0.3)
             asked[gateway] = asked.get(gateway, 0) + 1
             return 200 if asked[gateway] > 1 else 504
 
-        made.status_of = answer_late
-        self.assertTrue(asyncio.run(made.is_served_everywhere("of-tokens", time.monotonic() + 1.5)))
-        self.assertEqual(asked, dict.fromkeys(made.gateways, 2))
+        soak_run.status_of = answer_late
+        self.assertTrue(asyncio.run(soak_run.is_served_everywhere("of-tokens", time.monotonic() + 1.5)))
+        self.assertEqual(asked, dict.fromkeys(soak_run.gateways, 2))
 
-    def test_a_gateway_that_never_serves_a_tenant(self):
-        made = soak()
-        made.gateways = ["a", "b"]
+    def test_detects_gateway_that_never_serves_a_tenant(self):
+        soak_run = soak()
+        soak_run.gateways = ["a", "b"]
 
-        async def answer(gateway, *_):
+        async def response(gateway, *_):
             return 200 if gateway == "a" else 429
 
-        made.status_of = answer
-        self.assertFalse(asyncio.run(made.is_served_everywhere("of-tokens", time.monotonic() + 0.5)))
+        soak_run.status_of = response
+        self.assertFalse(asyncio.run(soak_run.is_served_everywhere("of-tokens", time.monotonic() + 0.5)))
 
-    def test_two_holders_of_one_token(self):
-        truth = Truth()
-        engine = Engine("e", "model", "decode", truth, random.Random(1))
+    def test_detects_two_holders_of_one_fencing_token(self):
+        oracle = Oracle()
+        engine = Engine("e", "model", "decode", oracle, random.Random(1))
         engine.fence = (5, "a")
         engine._order({"fencing_token": 5, "holder": "b", "expect_revision": 9, "stage": "prefill"})
-        self.assertEqual(len(truth.breaks), 1)
-
-    def test_a_key_that_goes_on_and_a_wrong_tenant(self):
-        truth = Truth()
-        truth.tenants["r"] = "tenant-1"
-        truth.named("r", {"x-tenant": "tenant-1"})
-        self.assertEqual(truth.breaks, [])
-        truth.named("r", {"x-tenant": "tenant-1", "x-other": "secret-of-1"})
-        truth.named("r", {"x-tenant": "tenant-2"})
-        truth.named("r", {})
-        self.assertEqual(len(truth.breaks), 3)
-
-    def test_two_reports_of_one_window_and_two_holders_of_one_duty_token(self):
-        truth = Truth()
-        platform = DutyPlatform(truth, random.Random(1))
+        self.assertEqual(len(oracle.violations), 1)
+
+    def test_detects_forwarded_key_and_wrong_tenant(self):
+        oracle = Oracle()
+        oracle.tenants["r"] = "tenant-1"
+        oracle.check_headers("r", {"x-tenant": "tenant-1"})
+        self.assertEqual(oracle.violations, [])
+        oracle.check_headers("r", {"x-tenant": "tenant-1", "x-other": "secret-of-1"})
+        oracle.check_headers("r", {"x-tenant": "tenant-2"})
+        oracle.check_headers("r", {})
+        self.assertEqual(len(oracle.violations), 3)
+
+    def test_detects_differing_usage_reports_and_two_holders_of_one_duty_token(self):
+        oracle = Oracle()
+        platform = DutyPlatform(oracle, random.Random(1))
         head = {"x-fencing-token": "5", "x-duty-holder": "a"}
-        self.assertEqual(platform.take(head, {"window_number": 7, "counts": {"t": 1}}), 200)
-        self.assertEqual(platform.take(head, {"window_number": 7, "counts": {"t": 1}}), 200)
-        self.assertEqual(truth.breaks, [])
-        platform.take(head, {"window_number": 7, "counts": {"t": 2}})
-        platform.take({**head, "x-duty-holder": "b"}, {"window_number": 8, "counts": {}})
-        self.assertEqual(len(truth.breaks), 2)
-        self.assertEqual(platform.take({**head, "x-fencing-token": "4"}, {"window_number": 9, "counts": {}}), 409)
+        self.assertEqual(platform.accept_report(head, {"window_number": 7, "counts": {"t": 1}}), 200)
+        self.assertEqual(platform.accept_report(head, {"window_number": 7, "counts": {"t": 1}}), 200)
+        self.assertEqual(oracle.violations, [])
+        platform.accept_report(head, {"window_number": 7, "counts": {"t": 2}})
+        platform.accept_report({**head, "x-duty-holder": "b"}, {"window_number": 8, "counts": {}})
+        self.assertEqual(len(oracle.violations), 2)
+        older = {**head, "x-fencing-token": "4"}
+        self.assertEqual(platform.accept_report(older, {"window_number": 9, "counts": {}}), 409)
 
 
 if __name__ == "__main__":
--- a/tests/platform/soak_callers.py
+++ b/tests/platform/soak_clients.py
@@ -1,14 +1,14 @@
-"""What the soak's clients do, and how they judge answers."""
+"""Clients of the soak test, and checks of the responses that they receive."""
 
 import asyncio
 import random
 import time
 
-from soak_truth import LIMITED_TENANTS, ROUTES, TENANTS, WRONG_KEY
+from soak_oracle import LIMITED_TENANTS, ROUTES, TENANTS, UNKNOWN_KEY
 
 
-async def read_answer(reader):
-    """One answer, whole, from a connection that stays open; a stream that is broken off ends with its connection."""
+async def read_response(reader):
+    """Reads one complete response from a kept-alive connection; an aborted stream ends when the connection closes."""
     data = await reader.readuntil(b"\r\n\r\n")
     head = data.lower()
     if b"transfer-encoding: chunked" not in head:
@@ -22,19 +22,19 @@
     return data
 
 
-class Callers:
-    """The clients' part of a soak; works on its truth, gateways and luck."""
+class Clients:
+    """Mix-in of the Soak class with its clients; uses its oracle, gateways and rng."""
 
     async def probe(self, gateway, generation):
         self.number += 1
-        life, asked = gateway.life, time.monotonic()
+        incarnation, asked = gateway.incarnation, time.monotonic()
         status = await self.status_of(gateway, f"gen{generation}", f"probe-{self.arguments.seed}-{self.number}")
-        if gateway.life == life:
-            self.truth.probed(gateway, generation, status, asked)
+        if gateway.incarnation == incarnation:
+            self.oracle.check_generation(gateway, generation, status, asked)
         return status
 
     async def status_of(self, gateway, route, request, key=TENANTS["tenant-0"]):
-        """The status of one request; nothing where none came."""
+        """Sends one request; returns the status of the response, or None if there was none."""
         body = f"ask {request}"
         text = (f"POST /{route}/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: {request}\r\nConnection: close\r\n"
                 f"X-Credential: {key}\r\nContent-Length: {len(body)}\r\n\r\n{body}")
@@ -54,57 +54,58 @@
     async def probe_configurations(self, until):
         while time.monotonic() < until:
             await asyncio.sleep(0.05)
-            newest = max(self.truth.acknowledged)
-            await self.probe(self.luck.choice(self.gateways), self.luck.randint(max(1, newest - 3), newest))
+            newest = max(self.oracle.acknowledged)
+            await self.probe(self.rng.choice(self.gateways), self.rng.randint(max(1, newest - 3), newest))
 
-    async def fatal_caller(self, until):
-        """Sends a request that ends engines again and again, to any gateway, for some seconds; then another."""
-        luck, kind = random.Random(self.luck.random()), 0
+    async def run_fatal_client(self, until):
+        """Sends the same engine-crashing request repeatedly to random gateways for some seconds, then another one."""
+        rng, kind = random.Random(self.rng.random()), 0
         while time.monotonic() < until:
             kind += 1
-            route, body = luck.choice(["chat", "safe"]), f"fatal {kind}"
+            route, body = rng.choice(["chat", "safe"]), f"fatal {kind}"
             end = min(until, time.monotonic() + 8)
             while time.monotonic() < end:
                 self.number += 1
                 request = f"fatal-{self.arguments.seed}-{self.number}"
-                await self.ask(luck.choice(self.gateways), route, request, TENANTS["tenant-0"], body)
-                await asyncio.sleep(luck.uniform(0.05, 0.4))
+                await self.send_request(rng.choice(self.gateways), route, request, TENANTS["tenant-0"], body)
+                await asyncio.sleep(rng.uniform(0.05, 0.4))
 
-    async def caller(self, until):
-        luck = random.Random(self.luck.random())
-        kept = {}  # gateway -> its open connection, used until it ends.
+    async def run_client(self, until):
+        rng = random.Random(self.rng.random())
+        pool = {}  # gateway -> its open connection, reused until it closes.
         while time.monotonic() < until:
             self.number += 1
-            route = luck.choice(list(ROUTES))
+            route = rng.choice(list(ROUTES))
             request = f"{route}-{self.arguments.seed}-{self.number}"
-            tenant = luck.choice([*TENANTS, None]) if luck.random() < 0.2 else luck.choice(list(TENANTS))
-            self.truth.tenants[request] = tenant
-            gateway = luck.choice(self.gateways)
-            life, unknowable = gateway.life, self.truth.nothing_is_known(self.gateways, self.store)
-            outcome = await self.ask(gateway, route, request, TENANTS.get(tenant, WRONG_KEY),
-                                     kept=kept if luck.random() < 0.7 else None)
+            tenant = rng.choice([*TENANTS, None]) if rng.random() < 0.2 else rng.choice(list(TENANTS))
+            self.oracle.tenants[request] = tenant
+            gateway = rng.choice(self.gateways)
+            incarnation = gateway.incarnation
+            unconfigured = self.oracle.no_configuration_known(self.gateways, self.store)
+            outcome = await self.send_request(gateway, route, request, TENANTS.get(tenant, UNKNOWN_KEY),
+                                              pool=pool if rng.random() < 0.7 else None)
             if tenant is None and outcome == "served":
-                self.truth.breaks.append(f"{request}: served with a key that nobody holds")
-            self.truth.told_outcome(request, route, outcome, gateway, life)
-            self.truth.unknowable += unknowable and outcome == "refused"
-            await asyncio.sleep(luck.uniform(0, 0.08))
+                self.oracle.violations.append(f"{request}: served with an unknown key")
+            self.oracle.record_outcome(request, route, outcome, gateway, incarnation)
+            self.oracle.refused_unconfigured += unconfigured and outcome == "refused"
+            await asyncio.sleep(rng.uniform(0, 0.08))
 
-    async def limited_caller(self, until, tenant):
-        """Sends several times its tenant's limit, to all gateways by turns."""
-        luck, kept = random.Random(self.luck.random()), {}
+    async def run_limited_client(self, until, tenant):
+        """Sends several times the tenant's limit to random gateways."""
+        rng, pool = random.Random(self.rng.random()), {}
         while time.monotonic() < until:
             self.number += 1
-            route = luck.choice(["safe", "once", "chat"])
+            route = rng.choice(["safe", "once", "chat"])
             request = f"{tenant}-{self.arguments.seed}-{self.number}"
-            self.truth.tenants[request] = tenant
-            outcome = await self.ask(luck.choice(self.gateways), route, request, LIMITED_TENANTS[tenant],
-                                     kept=kept, tokens=(2, 2))
-            self.truth.told[request] = (route, outcome)
-            await asyncio.sleep(luck.uniform(0, 0.03))
+            self.oracle.tenants[request] = tenant
+            outcome = await self.send_request(rng.choice(self.gateways), route, request, LIMITED_TENANTS[tenant],
+                                              pool=pool, tokens=(2, 2))
+            self.oracle.outcomes[request] = (route, outcome)
+            await asyncio.sleep(rng.uniform(0, 0.03))
 
-    async def ask(self, gateway, route, request, key, body=None, kept=None, tokens=(3000, 64)):
-        """One request; on a connection of `kept`, which it goes back to, or on one of its own."""
-        close = "" if kept is not None else "Connection: close\r\n"
+    async def send_request(self, gateway, route, request, key, body=None, pool=None, tokens=(3000, 64)):
+        """Sends one request and checks the response, on a connection that is taken from `pool` and returned to it."""
+        close = "" if pool is not None else "Connection: close\r\n"
         headers = (f"Host: h\r\nX-Request-Id: {request}\r\nX-Deadline-Ms: 2000\r\n{close}"
                    f"X-Credential: {key}\r\nX-Tenant: forged\r\n")
         if ROUTES[route][1] == "model":
@@ -112,23 +113,23 @@
             headers += f"X-Model: m\r\nX-Token-Count: {tokens[0]},{tokens[1]}\r\nX-Prompt-Prefix: {parts}\r\n"
         body = body or f"ask {request}"
         text = f"POST /{route}/x HTTP/1.1\r\n{headers}Content-Length: {len(body)}\r\n\r\n{body}"
-        connection = kept.pop(gateway, None) if kept is not None else None
+        connection = pool.pop(gateway, None) if pool is not None else None
         try:
             if connection is None:
                 connection = await asyncio.wait_for(asyncio.open_connection("127.0.0.1", gateway.client), 1)
         except (OSError, asyncio.TimeoutError):
             return "unreachable"
         reader, writer = connection
-        goes_back = False
+        reusable = False
         try:
             writer.write(text.encode())
-            data = await asyncio.wait_for(reader.read(-1) if kept is None else read_answer(reader), 8)
-            goes_back = kept is not None and b"connection: close" not in data.partition(b"\r\n\r\n")[0].lower()
+            data = await asyncio.wait_for(reader.read(-1) if pool is None else read_response(reader), 8)
+            reusable = pool is not None and b"connection: close" not in data.partition(b"\r\n\r\n")[0].lower()
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError):
             return "cut"
         finally:
-            if goes_back:
-                kept[gateway] = connection
+            if reusable:
+                pool[gateway] = connection
             else:
                 writer.close()
         return self.judge(route, request, data)
@@ -139,22 +140,22 @@
             return "cut"
         status = int(head.split(b" ")[1])
         if status == 429:
-            self.truth.refused_by_limit(request)
+            self.oracle.refused_by_limit(request)
         if status in (429, 503, 408, 421):
             return "refused"
         if status != 200:
             return f"status {status}"
         if f"x-server-stamp: ".encode() not in head.lower() or f".{request}".encode() not in head:
-            self.truth.breaks.append(f"{request}: success without its own signature")
+            self.oracle.violations.append(f"{request}: success without a signature for this request")
         if ROUTES[route][1] == "plain":
             if body != f"done {request}".encode():
-                self.truth.breaks.append(f"{request}: answer of another or cut: {body[:60]!r}")
+                self.oracle.violations.append(f"{request}: response of another request or truncated: {body[:60]!r}")
             return "served"
         if not body.endswith(b"0\r\n\r\n"):
             return "stream cut"
         events = [line for line in body.split(b"\n") if line.startswith(b"id: ")]
         if events != [f"id: {number}".encode() for number in range(1, 9)]:
-            self.truth.breaks.append(f"{request}: ended as whole with events {events}")
+            self.oracle.violations.append(f"{request}: stream ended as complete with events {events}")
         if body.count(f"data: {request}".encode()) != 8:
-            self.truth.breaks.append(f"{request}: events of another")
+            self.oracle.violations.append(f"{request}: events of another request")
         return "served"
--- a/tests/platform/soak_gateway.py
+++ b/tests/platform/soak_gateway.py
@@ -1,4 +1,4 @@
-"""Gateway processes of the soak."""
+"""Gateway processes of the soak test."""
 
 import json
 import os
@@ -8,10 +8,11 @@
 import subprocess
 import time
 
-from soak_truth import LIMIT_OVERAGE, LIMIT_SLACK, LIMIT_WINDOW_S
+from soak_oracle import LIMIT_OVERAGE, LIMIT_SLACK, LIMIT_WINDOW_S
 
 def free_port():
-    """A port that no client's connection is given by the system while its gateway is down."""
+    """Returns a free port below the ephemeral range, so that the system does not assign it to an outgoing connection
+    while the gateway is down."""
     for port in random.sample(range(10000, 30000), 1000):
         with socket.socket() as probe:
             try:
@@ -29,18 +30,18 @@
         self.path = os.path.join(folder, f"{self.name}.toml")
         self.log = open(os.path.join(folder, f"{self.name}.log"), "ab")
         self.store_port, self.duties_port = store_port, duties_port
-        self.process, self.seeds, self.life = None, seeds, 0
-        self.log_at_start, self.early_signals = 0, set()
-        self.calm_since = time.monotonic()
+        self.process, self.seeds, self.incarnation = None, seeds, 0
+        self.log_size_at_start, self.early_signals = 0, set()
+        self.undisturbed_since = time.monotonic()
 
-    def disturb(self):
-        """Something that takes it out of touch for a while began, goes on, or has just ended."""
-        self.calm_since = time.monotonic()
+    def mark_disturbed(self):
+        """Records that a fault which may cut this gateway off has started, is still active, or has just ended."""
+        self.undisturbed_since = time.monotonic()
 
     def start(self):
-        self.life += 1
-        self.disturb()
-        self.log_at_start, self.early_signals = self.log_size(), set()
+        self.incarnation += 1
+        self.mark_disturbed()
+        self.log_size_at_start, self.early_signals = self.log_size(), set()
         with open(self.path, "w", encoding="utf-8") as file:
             file.write(f'node_name = "{self.name}"\nzone = "a"\nclient_listen = "127.0.0.1:{self.client}"\n'
                        f'ready_listen = "127.0.0.1:{self.ready}"\npeer_listen = "127.0.0.1:{self.peer}"\n'
@@ -55,14 +56,14 @@
         return os.fstat(self.log.fileno()).st_size
 
     def send(self, number):
-        self.disturb()
+        self.mark_disturbed()
         if self.process.poll() is None:
-            if self.log_size() == self.log_at_start:
+            if self.log_size() == self.log_size_at_start:
                 self.early_signals.add(number)
             self.process.send_signal(number)
 
-    def ended_by_itself(self):
-        """Whether the process has ended and not by a signal of the soak's. One that has not written a line yet may not
-        have come to handling signals: then SIGTERM and SIGHUP end it as they end any process."""
+    def exited_unexpectedly(self):
+        """Returns whether the process exited for another reason than a signal of the soak test. A process that has not
+        written a log line may not have installed its signal handlers yet: SIGTERM and SIGHUP kill it then."""
         number = -self.process.returncode
         return number not in (0, signal.SIGKILL) and number not in self.early_signals
--- a/tests/platform/soak_world.py
+++ b/tests/platform/soak_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the fault soak: a store, engines, and proxies that hurt. All on loopback, in one event loop."""
+"""Stand-ins of the soak test on loopback, in one event loop: store, engines, duty platform, fault-injecting proxies."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
     return lines[0], headers, body
 
 
-def answer(status, body=b"", headers=None):
+def response(status, body=b"", headers=None):
     text = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n"
     for name, value in (headers or {}).items():
         text += f"{name}: {value}\r\n"
@@ -31,7 +31,7 @@
 
 
 class Server:
-    """Serves HTTP/1.1 with kept connections; subclasses define handle(first line, headers, body, writer)."""
+    """HTTP/1.1 server with kept-alive connections; subclasses define handle(first line, headers, body, writer)."""
 
     async def start(self):
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -47,37 +47,38 @@
                     break
                 await writer.drain()
         except (ConnectionError, OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # The peer or the soak has ended.
+            pass  # The peer has closed the connection, or the soak test has ended.
         finally:
             writer.close()
 
 
 class Store(Server):
-    """Versioned objects with lists, watches and conditional writes."""
+    """Store of versioned objects with lists, watches and conditional writes."""
 
     def __init__(self):
         self.revision = 1
         self.objects = {}
         self.events = []
-        self.waiting = set()  # Futures of the watches. A condition's lock is not left clean by tasks that are cancelled.
-        self.answers_since = time.monotonic()  # Nothing while it refuses calls.
+        # Futures of pending watches. Not an asyncio.Condition: cancelled tasks may leave its lock in a bad state.
+        self.waiting = set()
+        self.responding_since = time.monotonic()  # None while it refuses calls.
 
     @property
     def available(self):
-        return self.answers_since is not None
+        return self.responding_since is not None
 
     def set_available(self, available):
         if available and not self.available:
-            self.answers_since = time.monotonic()
+            self.responding_since = time.monotonic()
         if not available:
-            self.answers_since = None
+            self.responding_since = None
 
-    def has_answered_for(self, seconds):
-        return self.available and time.monotonic() - self.answers_since >= seconds
+    def has_responded_for(self, seconds):
+        return self.available and time.monotonic() - self.responding_since >= seconds
 
     async def put(self, kind, name, spec, revision=None):
-        held = self.objects.get((kind, name))
-        if revision is not None and (held["metadata"]["revision"] if held else 0) != revision:
+        stored = self.objects.get((kind, name))
+        if revision is not None and (stored["metadata"]["revision"] if stored else 0) != revision:
             return None
         self.revision += 1
         item = {"metadata": {"name": name, "revision": self.revision}, "spec": spec, "status": None}
@@ -103,21 +104,21 @@
         arguments = dict(item.split("=") for item in query.split("&")) if query else {}
         words = path.strip("/").split("/")[1:]
         if not self.available:
-            writer.write(answer(503))
+            writer.write(response(503))
         elif method == "GET" and "watch" in arguments:
             await self._watch(words[0], int(arguments["watch"]), int(arguments["wait_ms"]) / 1000, writer)
         elif method == "GET" and len(words) == 2:
             item = self.objects.get(tuple(words))
-            writer.write(answer(200, json.dumps(item).encode()) if item else answer(404))
+            writer.write(response(200, json.dumps(item).encode()) if item else response(404))
         elif method == "GET":
             items = [item for (kind, _), item in sorted(self.objects.items()) if kind == words[0]]
-            writer.write(answer(200, json.dumps({"items": items, "more": False, "at": self.revision}).encode()))
+            writer.write(response(200, json.dumps({"items": items, "more": False, "at": self.revision}).encode()))
         else:
             data = json.loads(body)
             name = data["metadata"]["name"]
             revision = 0 if method == "POST" else data["metadata"].get("revision")
             item = await self.put(words[0], name, data["spec"], revision)
-            writer.write(answer(200, json.dumps(item).encode()) if item else answer(409, b"{}"))
+            writer.write(response(200, json.dumps(item).encode()) if item else response(409, b"{}"))
         return True
 
     async def _watch(self, kind, since, wait, writer):
@@ -131,20 +132,20 @@
             self.waiting.add(future)
             await asyncio.wait([future], timeout=until - loop.time())
             self.waiting.discard(future)
-        writer.write(answer(200, json.dumps({"events": found(), "at": self.revision}).encode()))
+        writer.write(response(200, json.dumps({"events": found(), "at": self.revision}).encode()))
 
 
 class Engine(Server):
-    """Runs requests, remembers what it ran, and takes fenced orders."""
+    """Engine that runs requests, reports them to the oracle, and accepts fenced orders."""
 
-    def __init__(self, identity, service, stage, truth, luck):
-        self.identity, self.service, self.stage, self.truth, self.luck = identity, service, stage, truth, luck
-        self.lives, self.failing = 0, 0.0
-        self.begin_life()
+    def __init__(self, identity, service, stage, oracle, rng):
+        self.identity, self.service, self.stage, self.oracle, self.rng = identity, service, stage, oracle, rng
+        self.incarnation_number, self.failing = 0, 0.0
+        self.begin_incarnation()
 
-    def begin_life(self):
-        """Starts, or starts again under its id: it holds and knows nothing of before."""
-        self.lives += 1
+    def begin_incarnation(self):
+        """Starts the engine, or restarts it under the same id without any previous state."""
+        self.incarnation_number += 1
         self.sequence, self.fence, self.handles, self.running = 0, (0, ""), set(), 0
         self.born = int(time.time() * 1000)
 
@@ -158,15 +159,15 @@
     async def handle(self, line, headers, body, writer):
         method, target, _ = line.split(" ")
         if headers.get("x-expect-instance", self.identity) != self.identity:
-            writer.write(answer(421, headers={"X-Instance-Id": self.identity}))
+            writer.write(response(421, headers={"X-Instance-Id": self.identity}))
         elif target == "/report":
             report = {"stage": self.stage, "busy": False, "sequence": self.sequence, "born": self.born}
-            writer.write(answer(200, json.dumps(report).encode()))
+            writer.write(response(200, json.dumps(report).encode()))
         elif target == "/order":
             writer.write(self._order(json.loads(body)))
         elif method == "DELETE":
             self.handles.discard(target.rsplit("/", 1)[1])
-            writer.write(answer(200))
+            writer.write(response(200))
         else:
             return await self._request(headers, body, writer)
         return True
@@ -174,52 +175,52 @@
     def _order(self, order):
         token, holder = order["fencing_token"], order["holder"]
         if token < self.fence[0]:
-            return answer(412)
+            return response(412)
         if token == self.fence[0] and self.fence[1] not in ("", holder):
-            self.truth.breaks.append(f"two holders of token {token}: {self.fence[1]}, {holder}")
+            self.oracle.violations.append(f"two holders of token {token}: {self.fence[1]}, {holder}")
         if order["expect_revision"] != self.sequence:
-            return answer(409)
+            return response(409)
         self.fence, self.sequence, self.stage = (token, holder), self.sequence + 1, order["stage"]
-        asyncio.get_running_loop().create_task(self.truth.restaged(self))
-        return answer(202)
+        asyncio.get_running_loop().create_task(self.oracle.publish_stage_change(self))
+        return response(202)
 
     async def _request(self, headers, body, writer):
         request = headers["x-request-id"]
         common = {"X-Request-Id": request, "X-Instance-Load": f"{self.running},0,8"}
         if headers.get("x-stage") == "prefill":
             if self.stage != "prefill":
-                writer.write(answer(421, headers=common))
+                writer.write(response(421, headers=common))
                 return True
-            handle = f"{self.luck.getrandbits(48):x}"
+            handle = f"{self.rng.getrandbits(48):x}"
             self.handles.add(handle)
             await asyncio.sleep(0.02)
-            writer.write(answer(200, json.dumps({"kv_handle": handle, "tokens": 1, "version": 1}).encode(), common))
+            writer.write(response(200, json.dumps({"kv_handle": handle, "tokens": 1, "version": 1}).encode(), common))
             return True
         if self.stage == "prefill" or self.running >= 8 or not self.take_handle(headers):
-            writer.write(answer(503, headers={**common, "X-Not-Executed": "1"}))
+            writer.write(response(503, headers={**common, "X-Not-Executed": "1"}))
             return True
         if body.startswith(b"fatal"):
-            self.truth.fatal(body).runs.append(time.monotonic())
+            self.oracle.fatal(body).runs.append(time.monotonic())
             await asyncio.sleep(0.03)
-            await self.truth.end_engine(self, body)
+            await self.oracle.crash_engine(self, body)
             return False
-        self.truth.ran(request, body)
-        self.truth.named(request, headers)
-        self.truth.charged(time.monotonic(), request, headers)
+        self.oracle.record_run(request, body)
+        self.oracle.check_headers(request, headers)
+        self.oracle.record_cost(time.monotonic(), request, headers)
         self.running += 1
-        life = self.lives
+        incarnation = self.incarnation_number
         try:
             return await self._run(request, headers, common, writer)
         finally:
-            if self.lives == life:
+            if self.incarnation_number == incarnation:
                 self.running -= 1
 
     def take_handle(self, headers):
-        """Whether the prompt's memory is where the request says, if it says so; it is taken once."""
+        """Consumes the KV cache handle of the request, if it has one; returns whether some engine held it."""
         handle = headers.get("x-kv-source", "").rpartition("/")[2]
         if not handle:
             return True
-        for engine in self.truth.engines:
+        for engine in self.oracle.engines:
             if handle in engine.handles:
                 engine.handles.discard(handle)
                 return True
@@ -227,12 +228,12 @@
 
     async def _run(self, request, headers, common, writer):
         signed = {**common, "X-Server-Stamp": f"{self.identity}.{request}"}
-        fails = self.luck.random() < self.failing
-        await asyncio.sleep(self.luck.uniform(0.002, 0.03))
+        fails = self.rng.random() < self.failing
+        await asyncio.sleep(self.rng.uniform(0.002, 0.03))
         if not self.stage:
             if fails:
-                return False  # It ran; its answer is lost.
-            writer.write(answer(200, f"done {request}".encode(), signed))
+                return False  # The request ran, but its response is lost.
+            writer.write(response(200, f"done {request}".encode(), signed))
             return True
         start = int(headers.get("last-event-id", "0"))
         head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + "".join(f"{k}: {v}\r\n" for k, v in signed.items())
@@ -251,43 +252,44 @@
 
 
 class DutyPlatform(Server):
-    """Takes usage reports; refuses some, leaves some unanswered, and checks fencing tokens and contents."""
+    """Accepts usage reports. Refuses some, leaves some without a response, and checks fencing tokens and contents."""
 
-    def __init__(self, truth, luck):
-        self.truth, self.luck, self.holders, self.highest, self.reports = truth, luck, {}, 0, {}
+    def __init__(self, oracle, rng):
+        self.oracle, self.rng, self.holders, self.highest, self.reports = oracle, rng, {}, 0, {}
 
     async def handle(self, line, headers, body, writer):
-        chance = self.luck.random()
+        chance = self.rng.random()
         if chance < 0.1:
-            writer.write(answer(429))
+            writer.write(response(429))
             return True
-        status = self.take(headers, json.loads(body))
+        status = self.accept_report(headers, json.loads(body))
         if chance < 0.2:
-            await asyncio.sleep(2)  # It was taken, and is not answered.
+            await asyncio.sleep(2)  # The report was accepted, but gets no response.
             return False
-        writer.write(answer(status))
+        writer.write(response(status))
         return True
 
-    def take(self, headers, report):
-        """Takes one report; returns the status of its answer."""
+    def accept_report(self, headers, report):
+        """Processes one report; returns the status of the response."""
         token, holder = int(headers["x-fencing-token"]), headers["x-duty-holder"]
         if self.holders.setdefault(token, holder) != holder:
-            self.truth.breaks.append(f"two holders of token {token}: {self.holders[token]}, {holder}")
+            self.oracle.violations.append(f"two holders of token {token}: {self.holders[token]}, {holder}")
         if token < self.highest:
             return 409
         self.highest = token
         window, counts = report["window_number"], report["counts"]
         if self.reports.setdefault(window, counts) != counts:
-            self.truth.breaks.append(f"window {window}: reported {self.reports[window]}, then {counts}")
+            self.oracle.violations.append(f"window {window}: reported {self.reports[window]}, then {counts}")
         return 200
 
 
 class Proxy:
-    """Passes bytes to a port of ours, and hurts them: delay, reset, one way, silence; or silences for good what is open."""
+    """Forwards bytes to a local port and injects faults: delay, reset, one way, silence. It can also silence all open
+    connections for good."""
 
     def __init__(self, target_port):
         self.target_port, self.mode, self.writers = target_port, "pass", set()
-        self.silenced = set()  # Writers of connections that say nothing more; new ones work.
+        self.silenced = set()  # Writers of connections that were silenced for good; new connections work.
 
     async def start(self):
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
@@ -296,19 +298,19 @@
     def set(self, mode):
         self.mode = mode
         if mode == "reset":
-            self.cut_open()
+            self.abort_open_connections()
 
-    def silence_open(self):
+    def silence_open_connections(self):
         self.silenced |= self.writers
 
-    def cut_open(self):
+    def abort_open_connections(self):
         for writer in list(self.writers):
             writer.transport.abort()
 
     async def end(self):
-        """As a process that ends: its connections break and nobody listens any more."""
+        """Behaves like a process that exits: resets its connections and stops listening."""
         self.server.close()
-        self.cut_open()
+        self.abort_open_connections()
 
     async def _accept(self, reader, writer):
         if self.mode == "reset":
@@ -323,7 +325,7 @@
         try:
             await asyncio.gather(self._pump(reader, up_writer, True), self._pump(up_reader, writer, False))
         except asyncio.CancelledError:
-            pass  # The soak has ended.
+            pass  # The soak test has ended.
         self.writers -= {writer, up_writer}
         self.silenced -= {writer, up_writer}
 
