--- a/src/gateway/traffic_meter.h
+++ b/src/gateway/traffic_meter.h
@@ -34,8 +34,8 @@
 enum class TrafficLocality : std::uint8_t {
   kZone,
   kRegion,
-  kOtherRegion
-};  // kOtherRegion: another region, or not known.
+  kOtherRegion,  // Also if the region is unknown.
+};
 inline constexpr std::size_t kTrafficLocalities = 3;
 std::string_view NameOf(TrafficLocality locality);
 
--- a/tests/gateway/limit_codec_test.cc
+++ b/tests/gateway/limit_codec_test.cc
@@ -17,7 +17,7 @@
   return decoded->limits;
 }
 
-TEST(LimitCodecTest, LimitAskRoundTrips) {
+TEST(LimitCodecTest, ChargeRequestRoundTrips) {
   const limits::ChargeRequest sent{{~0ULL, 2}, 3, 57000, "10.0.0.1:7001", 2, ~0ULL - 1, true};
   const auto decoded_messages = RoundTrip({sent});
   ASSERT_EQ(decoded_messages.size(), 1U);
@@ -31,7 +31,7 @@
   EXPECT_TRUE(request.declined);
 }
 
-TEST(LimitCodecTest, AnswersAndRefundsRoundTrip) {
+TEST(LimitCodecTest, ChargeResponsesAndRefundsRoundTrip) {
   const auto messages =
       RoundTrip({limits::ChargeResponse{{1, 2}, false, 1234ms, "node-a"}, limits::ChargeRefund{{5, 6}, 7}});
   ASSERT_EQ(messages.size(), 2U);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(LimitCodecTest, HandOversRoundTrip) {
+TEST(LimitCodecTest, BucketHandoffsRoundTrip) {
   const auto messages = RoundTrip({limits::BucketHandoff{1, 2, {3, 4}, -1234.5, false, 12, true}});
   const auto& message = std::get<limits::BucketHandoff>(messages.at(0));
   EXPECT_EQ(message.tenant, 1U);
@@ -90,7 +90,7 @@
 }
 
 // With these sizes, a tenant with 1000 requests/s costs its owner's link about 0.3 MB/s in each direction.
-TEST(LimitCodecTest, EncodedSizesOfAskAndAnswer) {
+TEST(LimitCodecTest, EncodedSizesOfChargeRequestAndResponse) {
   const auto size = [](const limits::LimitMessage& message) {
     serving::PeerReport report;
     report.scope = serving::ReportScope::kLimits;
