--- a/src/core/serving/demand_meter.h
+++ b/src/core/serving/demand_meter.h
@@ -1,5 +1,5 @@
-// Measures what a node's callers ask of a language service: how many engines
-// their prompts keep reading, and how many their streams keep answering.
+// Measures the demand that a node's clients place on a language service, as the average number of engines kept busy
+// with prefill and with decode.
 #pragma once
 
 #include <cmath>
@@ -8,14 +8,14 @@
 
 namespace saltquay::serving {
 
-// A rate of amounts a second, forgotten exponentially.
+// A rate per second, averaged with exponential decay.
 class DecayingRate {
  public:
-  explicit DecayingRate(Duration memory) : memory_seconds_(ToSeconds(memory)) {}
+  explicit DecayingRate(Duration time_constant) : time_constant_seconds_(ToSeconds(time_constant)) {}
 
   void Add(double amount, Time now) {
     Decay(now);
-    value_ += amount / memory_seconds_;
+    value_ += amount / time_constant_seconds_;
   }
   double Get(Time now) {
     Decay(now);
@@ -24,20 +24,21 @@
 
  private:
   void Decay(Time now) {
-    if (now > at_) value_ *= std::exp(-ToSeconds(now - at_) / memory_seconds_);
-    at_ = now;
+    if (now > updated_at_) value_ *= std::exp(-ToSeconds(now - updated_at_) / time_constant_seconds_);
+    updated_at_ = now;
   }
 
-  double memory_seconds_;
+  double time_constant_seconds_;
   double value_ = 0;
-  Time at_{};
+  Time updated_at_{};
 };
 
 struct DemandMeter {
-  explicit DemandMeter(Duration memory) : prefill(memory), reading(memory), decode(memory) {}
-  DecayingRate prefill;  // Engine-seconds of reading a second, with what delays readings on their way.
-  DecayingRate reading;  // The same at the pace of an engine that does nothing else.
-  DecayingRate decode;   // Engine-seconds of answering a second.
+  explicit DemandMeter(Duration time_constant)
+      : prefill(time_constant), reading(time_constant), decode(time_constant) {}
+  DecayingRate prefill;  // Prefill engine-seconds per second, including network delay and queueing.
+  DecayingRate reading;  // The same at the speed of an engine with no other work.
+  DecayingRate decode;   // Decode engine-seconds per second.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/demand_sum.h
+++ b/src/core/serving/demand_sum.h
@@ -1,4 +1,4 @@
-// Sums of what nodes' callers ask, by service and by the region of the nodes.
+// Totals of client demand, by service and by the region of the reporting nodes.
 #pragma once
 
 #include <compare>
@@ -23,10 +23,10 @@
   void Add(std::span<const ServiceDemand> demands) {
     for (const ServiceDemand& demand : demands) Add(demand);
   }
-  // Of the service in that region; empty: in all.
+  // The service's total in that region, or in all regions if `region` is empty.
   ServiceDemand Of(const std::string& service, const std::string& region) const;
   std::map<std::string, ServiceDemand> ByService() const;
-  // One for each service and region.
+  // One entry per service and region.
   std::vector<ServiceDemand> All() const;
 
  private:
--- a/src/core/serving/duty_lease.h
+++ b/src/core/serving/duty_lease.h
@@ -1,14 +1,15 @@
-// The lease under which one node does what only one may do at a time: it orders engines to change, and does the
-// duties toward the platform.
+// A lease in the object store that elects the one node that orders engine stage changes and performs the duties toward
+// the platform.
 //
-// Protocol. The lease is one object in the store. Its holder is the node whose conditional write made its present
-// revision. The revision with which a holder began is its fencing token (unique and rising); it keeps the token while
-// it renews, so that a call that arrives late is not older than those before it. The holder may act for `window` from
-// before its last write was sent, and renews before it acts again. A node takes over only after it has seen one
-// revision unchanged for lease + window + slack, so what two holders do is a lease apart; it sees revisions in the
-// store or hears them from peers, and its conditional write tells whether they were the last. A holder that stops
-// gives the lease up. The same machine in a later life goes on at once: there is no other holder between. A write
-// without an answer is settled by reading the object back: the nonce tells whose it is.
+// Protocol. The lease is one object in the store. Its holder is the node whose conditional write created the current
+// revision. The revision of a holder's first write is its fencing token (unique and increasing). The holder keeps that
+// token across renewals, so that a delayed call never carries a lower token than calls that arrived before it. The
+// holder may act for `window`, measured from before its last write was sent, and renews the lease before it acts again.
+// Another node takes over only after it has seen one revision unchanged for lease + window + margin, so actions of two
+// holders are at least one lease apart. Nodes learn of revisions from the store or from peers; a conditional write
+// shows whether the revision was still current. A holder that shuts down resigns. If the holder restarts on the same
+// machine, it takes the lease again at once, because no other node can have held it in between. A write without a
+// response is resolved by reading the object back: the nonce shows whose write succeeded.
 #pragma once
 
 #include <cstdint>
@@ -21,80 +22,82 @@
 namespace saltquay::serving {
 
 struct LeaseRecord {
-  std::string holder;       // Empty: its holder gave it up.
-  std::string address;      // Of the holder's machine.
-  std::uint64_t nonce = 0;  // Of the write.
-  std::int64_t token = 0;   // Of the holder; 0: the revision of this very write.
+  std::string holder;       // Empty after the holder resigned.
+  std::string address;      // Address of the holder's machine.
+  std::uint64_t nonce = 0;  // Identifies the write.
+  std::int64_t token = 0;   // The holder's fencing token; 0: the revision of this write.
   std::int64_t revision = 0;
 };
 
 struct DutyLeaseTimes {
   Duration lease = 3s;
   Duration window = 1s;
-  Duration slack = 400ms;
+  Duration margin = 400ms;
   Duration retry = 500ms;
-  Duration turn = 300ms;       // Between the tries of two nodes to take a lease that is free.
-  int max_takeover_rank = 10;  // From this rank on nodes do not wait longer: most of those before them are gone.
+  Duration rank_delay = 300ms;  // Delay between consecutive ranks when nodes compete for a free lease.
+  // Nodes of a higher rank wait no longer than this one: most nodes before them are probably down.
+  int max_takeover_rank = 10;
 };
 
 enum class LeaseStep { kNone, kRead, kWrite };
 
 class DutyLease {
  public:
-  // `address`: of this machine, told apart from others by it; empty: not known.
+  // `address` identifies this machine; empty if unknown.
   DutyLease(std::string node, std::string address, const DutyLeaseTimes& times, std::uint64_t seed, Time started)
-      : node_(std::move(node)), address_(std::move(address)), times_(times), nonce_(seed), began_(started) {}
+      : node_(std::move(node)), address_(std::move(address)), times_(times), nonce_(seed), started_(started) {}
 
-  // What to do next so that this node may act for `needed` from now; kWrite: send `draft`. `rank`: how many nodes go
-  // before this one to take a free lease.
+  // Returns the next step towards holding the lease for `needed` from now; on kWrite, send `draft`. `rank`: the number
+  // of nodes that precede this one in taking over a free lease.
   LeaseStep Next(Time now, Duration needed, int rank = 0);
   const LeaseRecord& draft() const { return draft_; }
 
-  // Answers; an empty record: there is no such object.
+  // Results of the steps. An empty record means that the object does not exist.
   void OnRead(const LeaseRecord& record, Time now);
   void OnReadFailed(Time now);
   void OnWritten(std::int64_t revision);
-  // `settled`: the write certainly did not happen.
-  void OnWriteFailed(bool settled, Time now);
-  // A peer knows this revision of the lease.
+  // `not_applied`: the write is known not to have taken effect.
+  void OnWriteFailed(bool not_applied, Time now);
+  // A peer reported this revision of the lease.
   void OnPeerRecord(const LeaseRecord& record, Time now);
 
-  // Somebody at this node wants to act soon.
+  // Requests the lease for an upcoming action on this node.
   void Want(Time now) { requested_until_ = now + times_.retry; }
   bool wanted(Time now) const { return now < requested_until_; }
-  // Whether this node may act now.
+  // Whether this node holds the lease now and will for `needed` longer.
   bool IsHeldFor(Time now, Duration needed = 0s) const { return holds_ && now + needed < valid_until_; }
   std::int64_t token() const { return token_; }
-  // The newest record that is known, to be told to peers; revision 0: none.
+  // The newest known record, for reports to peers; revision 0: none.
   LeaseRecord known() const { return known_.value_or(LeaseRecord{}); }
-  // Somebody saw a higher token: this node is not the holder any more.
+  // A receiver has seen a higher fencing token, so this node no longer holds the lease.
   void OnFenced() {
     holds_ = false;
     known_.reset();
   }
-  // This node stops: it acts no more. Returns what to write so that others need not wait; nothing where it holds none.
+  // Called when this node shuts down; it does not act under the lease afterwards. Returns the record to write so that
+  // others can take over without waiting, or nothing if this node does not hold the lease.
   std::optional<LeaseRecord> Resign();
   void OnResigned(std::int64_t revision, Time now);
 
  private:
   void StartWrite(Time now);
-  bool MayTake(Time now, int rank) const;
+  bool CanTakeOver(Time now, int rank) const;
 
   std::string node_;
   std::string address_;
   DutyLeaseTimes times_;
   std::uint64_t nonce_;
-  Time began_;  // Of this life.
+  Time started_;  // Start of this process.
   LeaseRecord draft_;
-  std::optional<LeaseRecord> known_;  // As last read or heard, with its revision.
+  std::optional<LeaseRecord> known_;  // Last record read from the store or received from a peer, with its revision.
   Time record_seen_at_{};
   Time write_sent_{};
   Time valid_until_{};
   Time next_attempt_at_{};
   Time requested_until_{};
   bool holds_ = false;
-  bool busy_ = false;              // A call is under way.
-  bool write_unresolved_ = false;  // A write of ours may have happened.
+  bool call_in_progress_ = false;  // A store call is in progress.
+  bool write_unresolved_ = false;  // A write of this node may have taken effect.
   bool resigned_ = false;
   std::int64_t token_ = 0;
 };
--- a/src/core/serving/engine_directory.cc
+++ b/src/core/serving/engine_directory.cc
@@ -9,9 +9,10 @@
 
 namespace {
 
-constexpr Duration kOutcomeHalf = 1s;
+constexpr Duration kOutcomeBucket = 1s;
 
-// What one life keeps and has under way is never taken for another's, here and in what nodes tell each other.
+// The key differs between incarnations of an engine, so that cached parts and work in flight of one are never
+// attributed to another, on this node or in reports between nodes.
 EngineKey KeyOf(const EngineRecord& record) {
   if (record.started_ms == 0) return EngineKey(record.id);
   return EngineKey(fmt::format("{}@{}", record.id, record.started_ms));
@@ -19,23 +20,23 @@
 
 }  // namespace
 
-void RecentOutcomes::Turn(Time now) {
-  if (now - began_ < kOutcomeHalf) return;
-  before_ = now - began_ < 2 * kOutcomeHalf ? now_ : Half{};
-  now_ = Half{};
-  began_ = now;
+void RecentOutcomes::Rotate(Time now) {
+  if (now - bucket_started_ < kOutcomeBucket) return;
+  previous_ = now - bucket_started_ < 2 * kOutcomeBucket ? current_ : Bucket{};
+  current_ = Bucket{};
+  bucket_started_ = now;
 }
 
 void RecentOutcomes::Note(bool failed, Time now) {
-  Turn(now);
-  ++(failed ? now_.failures : now_.answers);
+  Rotate(now);
+  ++(failed ? current_.failures : current_.answers);
 }
 
 EngineWork RecentOutcomes::Counts(Time now) {
-  Turn(now);
+  Rotate(now);
   EngineWork counts;
-  counts.answers = now_.answers + before_.answers;
-  counts.failures = now_.failures + before_.failures;
+  counts.answers = current_.answers + previous_.answers;
+  counts.failures = current_.failures + previous_.failures;
   return counts;
 }
 
@@ -48,38 +49,38 @@
   for (auto& [id, engine] : engines_) {
     if (!present.contains(id)) engine.gone = true;
   }
-  NoteRecords();
+  OnRecordsChanged();
   Sweep();
 }
 
 bool EngineDirectory::Update(const EngineRecord& record) {
   EngineState& engine = engines_[record.id];
-  if (record.started_ms < engine.record.started_ms) return false;  // Late word of an earlier life.
-  // It started again under its id: nothing that was known of the earlier life holds.
+  if (record.started_ms < engine.record.started_ms) return false;  // Delayed update about an earlier incarnation.
+  // The engine restarted under the same id: all state of the earlier incarnation is invalid.
   if (record.started_ms > engine.record.started_ms) engine = EngineState{};
   const bool changed = engine.gone || engine.record != record;
   if (engine.record.stage != record.stage) engine.changing_until = engine.held_until = Time{};
   engine.record = record;
   engine.key = KeyOf(record);
   engine.gone = false;
-  if (changed) NoteRecords();
+  if (changed) OnRecordsChanged();
   return changed;
 }
 
 void EngineDirectory::Remove(const std::string& id) {
   const auto entry = engines_.find(id);
   if (entry != engines_.end()) entry->second.gone = true;
-  NoteRecords();
+  OnRecordsChanged();
   Sweep();
 }
 
-void EngineDirectory::NoteRecords() {
+void EngineDirectory::OnRecordsChanged() {
   ++generation_;
   service_stats_.clear();
 }
 
 void EngineDirectory::Sweep() {
-  // No index and no tally has those that are gone.
+  // Removed engines are in no index and no statistics.
   std::erase_if(engines_, [](const auto& entry) { return entry.second.gone && entry.second.outstanding == 0; });
 }
 
@@ -109,7 +110,7 @@
 void EngineDirectory::RecordLoad(const std::string& id, const EngineLoad& load, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return;
-  engine->told = load;
+  engine->reported_load = load;
   engine->load_reported_at = now;
   engine->outstanding_at_load_report = engine->outstanding;
   engine->has_reported_load = true;
@@ -123,17 +124,18 @@
   engine->backoff = 0s;
   engine->outcomes.Note(failed, now);
   if (!failed) RaiseProbationLimit(*engine);
-  ServiceStats& tally = StatsOf(engine->record.service);
-  tally.Count(*engine, -1);
+  ServiceStats& stats = StatsOf(engine->record.service);
+  stats.Count(*engine, -1);
   ++engine->answers;
   engine->error_share += policy_.smoothing * ((failed ? 1.0 : 0.0) - engine->error_share);
-  tally.Count(*engine, 1);
-  const bool judged = engine->answers >= policy_.min_answers;
-  const bool bad = judged && engine->error_share > PeerEnginesErrorShare(*engine) + policy_.error_share;
-  if (bad) {
-    tally.Count(*engine, -1);
+  stats.Count(*engine, 1);
+  const bool has_enough_responses = engine->answers >= policy_.min_responses;
+  const bool is_outlier =
+      has_enough_responses && engine->error_share > PeerEnginesErrorShare(*engine) + policy_.error_share;
+  if (is_outlier) {
+    stats.Count(*engine, -1);
     engine->answers = 0;
-    return Eject(*engine, "errors above the other engines'", policy_.max_ejected_share, now);
+    return Eject(*engine, "error share above the service's other engines", policy_.max_ejected_share, now);
   }
   if (!failed && engine->error_share < policy_.error_share / 2) engine->ejection = 0s;
   return std::nullopt;
@@ -144,9 +146,9 @@
   if (engine == nullptr) return;
   engine->last_heard = now;
   engine->consecutive_failures = 0;
-  if (now < engine->backed_off_until) return;  // Sent before the first refusal was known.
+  if (now < engine->backed_off_until) return;  // This request was sent before the first rejection was known.
   engine->backoff =
-      engine->backoff == 0s ? policy_.first_backoff : std::min(engine->backoff * 2, policy_.longest_backoff);
+      engine->backoff == 0s ? policy_.initial_backoff : std::min(engine->backoff * 2, policy_.max_backoff);
   engine->backed_off_until = now + engine->backoff;
 }
 
@@ -165,65 +167,69 @@
 std::optional<HealthChange> EngineDirectory::RecordWrongEngine(const std::string& id, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return std::nullopt;
-  engine->ejection = policy_.longest;
-  return EjectUnconditionally(*engine, "another engine has its address", now);
+  engine->ejection = policy_.max_ejection;
+  return EjectUnconditionally(*engine, "another engine responds at its address", now);
 }
 
-std::optional<HealthChange> EngineDirectory::Eject(EngineState& engine, const std::string& cause, double most_out,
+std::optional<HealthChange> EngineDirectory::Eject(EngineState& engine, const std::string& cause, double max_share,
                                                    Time now) {
-  if (!MayEjectMore(engine.record.service, most_out, now)) return std::nullopt;
+  if (!MayEjectMore(engine.record.service, max_share, now)) return std::nullopt;
   return EjectUnconditionally(engine, cause, now);
 }
 
 std::optional<HealthChange> EngineDirectory::EjectUnconditionally(EngineState& engine, const std::string& cause,
                                                                   Time now) {
   if (now < engine.ejected_until) return std::nullopt;
-  engine.ejection = engine.ejection == 0s ? policy_.first : std::min(engine.ejection * 2, policy_.longest);
+  engine.ejection =
+      engine.ejection == 0s ? policy_.initial_ejection : std::min(engine.ejection * 2, policy_.max_ejection);
   engine.ejected_until = now + engine.ejection;
   engine.probation_limit = 1;
   engine.consecutive_failures = 0;
   if (engine.gone) return HealthChange{engine.record.id, true, cause, engine.ejection};
-  std::vector<EngineState*>& out = StatsOf(engine.record.service).out;
-  std::erase(out, &engine);  // From its last time, if nobody has asked since.
-  out.push_back(&engine);
+  std::vector<EngineState*>& ejected_engines = StatsOf(engine.record.service).ejected_engines;
+  // May still be listed for an earlier ejection, since expired entries are dropped only on the next query.
+  std::erase(ejected_engines, &engine);
+  ejected_engines.push_back(&engine);
   return HealthChange{engine.record.id, true, cause, engine.ejection};
 }
 
 std::vector<HealthChange> EngineDirectory::EjectByFleetOutcomes(const std::map<EngineKey, EngineWork>& peers,
                                                                 double draw, Time now) {
-  service_stats_.clear();  // So that sums of many small changes stay true.
-  std::map<std::string, EngineWork> services;
-  std::map<EngineKey, EngineWork> seen;
+  service_stats_.clear();  // Recomputed regularly so that rounding errors of incremental updates do not accumulate.
+  std::map<std::string, EngineWork> service_totals;
+  std::map<EngineKey, EngineWork> totals;
   for (auto& [id, engine] : engines_) {
     if (engine.gone) continue;
-    EngineWork& outcomes = seen[engine.key];
+    EngineWork& outcomes = totals[engine.key];
     outcomes = engine.outcomes.Counts(now);
     const auto others = peers.find(engine.key);
     if (others != peers.end()) outcomes.Add(others->second);
-    services[engine.record.service].Add(outcomes);
+    service_totals[engine.record.service].Add(outcomes);
   }
   std::vector<HealthChange> changes;
   for (auto& [id, engine] : engines_) {
     if (engine.gone) continue;
-    const auto change = EjectOneByFleetOutcomes(engine, seen[engine.key], services[engine.record.service], draw, now);
+    const auto change =
+        EjectOneByFleetOutcomes(engine, totals[engine.key], service_totals[engine.record.service], draw, now);
     if (change) changes.push_back(*change);
   }
   return changes;
 }
 
-std::optional<HealthChange> EngineDirectory::EjectOneByFleetOutcomes(EngineState& engine, const EngineWork& seen,
+std::optional<HealthChange> EngineDirectory::EjectOneByFleetOutcomes(EngineState& engine, const EngineWork& totals,
                                                                      const EngineWork& service, double draw, Time now) {
-  if (now < engine.ejected_until || seen.failures < policy_.min_fleet_failures) return std::nullopt;
-  const bool lost = seen.answers == 0;
-  const double share = static_cast<double>(seen.failures) / (seen.failures + seen.answers);
-  const int others = service.answers + service.failures - seen.answers - seen.failures;
+  if (now < engine.ejected_until || totals.failures < policy_.min_fleet_failures) return std::nullopt;
+  const bool lost = totals.answers == 0;
+  const double share = static_cast<double>(totals.failures) / (totals.failures + totals.answers);
+  const int others = service.answers + service.failures - totals.answers - totals.failures;
   const double others_share =
-      others <= 0 ? 1.0 : static_cast<double>(service.failures - seen.failures) / static_cast<double>(others);
-  const bool bad =
-      seen.answers + seen.failures >= policy_.min_fleet_outcomes && share > others_share + policy_.error_share;
-  if (!lost && !bad) return std::nullopt;
-  auto change = lost ? Eject(engine, "no node is answered", policy_.max_unreachable_share, now)
-                     : Eject(engine, "errors above the other engines', of all nodes", policy_.max_ejected_share, now);
+      others <= 0 ? 1.0 : static_cast<double>(service.failures - totals.failures) / static_cast<double>(others);
+  const bool is_outlier =
+      totals.answers + totals.failures >= policy_.min_fleet_outcomes && share > others_share + policy_.error_share;
+  if (!lost && !is_outlier) return std::nullopt;
+  auto change = lost ? Eject(engine, "no successful response to any node", policy_.max_unreachable_share, now)
+                     : Eject(engine, "error share above the service's other engines, over all nodes",
+                             policy_.max_ejected_share, now);
   if (!change) return change;
   change->lost = lost;
   change->span = FromSeconds(ToSeconds(std::max(policy_.min_fleet_ejection, engine.ejection)) * (1 + draw));
@@ -238,35 +244,35 @@
 
 void EngineDirectory::ServiceStats::Count(const EngineState& engine, int sign) {
   if (engine.gone || engine.answers == 0) return;
-  answered += sign;
-  error_shares += sign * engine.error_share;
+  responding_engines += sign;
+  error_share_sum += sign * engine.error_share;
 }
 
 EngineDirectory::ServiceStats& EngineDirectory::StatsOf(const std::string& service) {
   if (service_stats_.empty()) {
     ForEachPresent([&](EngineState& engine) {
-      ServiceStats& tally = service_stats_[engine.record.service];
-      tally.serving += engine.record.leaving ? 0 : 1;
-      tally.Count(engine, 1);
-      if (engine.ejected_until > Time{}) tally.out.push_back(&engine);
+      ServiceStats& stats = service_stats_[engine.record.service];
+      stats.serving += engine.record.leaving ? 0 : 1;
+      stats.Count(engine, 1);
+      if (engine.ejected_until > Time{}) stats.ejected_engines.push_back(&engine);
     });
   }
   return service_stats_[service];
 }
 
-bool EngineDirectory::MayEjectMore(const std::string& service, double most_out, Time now) {
-  ServiceStats& tally = StatsOf(service);
-  std::erase_if(tally.out, [&](const EngineState* engine) { return now >= engine->ejected_until; });
-  const auto out = std::count_if(tally.out.begin(), tally.out.end(),
-                                 [](const EngineState* engine) { return !engine->record.leaving; });
-  return out < std::max(1, static_cast<int>(most_out * tally.serving));
+bool EngineDirectory::MayEjectMore(const std::string& service, double max_share, Time now) {
+  ServiceStats& stats = StatsOf(service);
+  std::erase_if(stats.ejected_engines, [&](const EngineState* engine) { return now >= engine->ejected_until; });
+  const auto ejected_engines = std::count_if(stats.ejected_engines.begin(), stats.ejected_engines.end(),
+                                             [](const EngineState* engine) { return !engine->record.leaving; });
+  return ejected_engines < std::max(1, static_cast<int>(max_share * stats.serving));
 }
 
 double EngineDirectory::PeerEnginesErrorShare(const EngineState& engine) {
   const ServiceStats& all = StatsOf(engine.record.service);
   const bool counted = !engine.gone && engine.answers > 0;
-  const int others = all.answered - (counted ? 1 : 0);
-  return others == 0 ? 1.0 : (all.error_shares - (counted ? engine.error_share : 0.0)) / others;
+  const int others = all.responding_engines - (counted ? 1 : 0);
+  return others == 0 ? 1.0 : (all.error_share_sum - (counted ? engine.error_share : 0.0)) / others;
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/engine_directory.h
+++ b/src/core/serving/engine_directory.h
@@ -1,15 +1,12 @@
-// What this node believes of each engine: its record from the platform, the
-// load that its answers told, what this node has under way there, and whether
-// it may get work.
+// This node's view of each engine: its record from the platform, its last reported load, this node's outstanding
+// requests, and whether it may receive requests.
 //
-// Protocol. Records come from a watched collection; a record that is gone or
-// leaving gets no new work. An engine that fails is taken out for a while
-// (ejected) and comes back by itself, on trial: it gets a little work, then twice
-// as much with each good answer, and one more failure takes it out again. Only a
-// share of a service may be out at once. What all nodes saw of an engine ejects it as
-// well, so that each need not be hurt by itself. A refusal for lack of room says nothing
-// of health: the engine is left alone for some milliseconds (backed off). Beliefs
-// are this node's own and are lost with its process.
+// Protocol. Records come from a watched collection. An engine that was removed or is leaving receives no new requests.
+// An engine that fails is ejected for a while and then returns on probation: the number of concurrent requests allowed
+// doubles with each success, and one more failure ejects it again. Only a limited share of a service's engines may be
+// ejected at once. Outcomes reported by all nodes also eject an engine, so that not every node has to see failures of
+// its own. A rejection for lack of capacity does not count as a failure: the engine is only backed off for some
+// milliseconds. This state is local to the node and not persisted.
 #pragma once
 
 #include <algorithm>
@@ -30,8 +27,8 @@
 
 struct EngineRecord {
   std::string id;
-  // When its process started, in milliseconds since the epoch; 0: not told. With the id it names one life of the
-  // engine.
+  // Start time of the engine's process in milliseconds since the epoch; 0 if not reported. Together with the id it
+  // identifies one incarnation of the engine.
   std::int64_t started_ms = 0;
   std::string service;
   std::string address;
@@ -40,31 +37,31 @@
   bool leaving = false;
   EngineStage stage = EngineStage::kUniform;
   std::int64_t order_sequence = 0;
-  bool spot = false;  // It costs less and may be taken away, with all others of its zone.
+  bool spot = false;  // A spot instance: cheaper, but it may be reclaimed together with all others of its zone.
 
   bool operator==(const EngineRecord&) const = default;
 };
 
-// Outcomes of the last second or two, in two halves of which the older is dropped whole.
+// Outcomes of the last one to two seconds, in two buckets; the older bucket is dropped as a whole.
 class RecentOutcomes {
  public:
   void Note(bool failed, Time now);
-  // The counts up to now; the engine's key and work are left open.
+  // Returns the counts; the engine's key and work in flight are not set.
   EngineWork Counts(Time now);
 
  private:
-  struct Half {
+  struct Bucket {
     int answers = 0;
     int failures = 0;
   };
-  void Turn(Time now);
+  void Rotate(Time now);
 
-  Time began_{};
-  Half now_;
-  Half before_;
+  Time bucket_started_{};
+  Bucket current_;
+  Bucket previous_;
 };
 
-// Load as an engine told it.
+// Load as reported by an engine.
 struct EngineLoad {
   int running = 0;
   int waiting = 0;
@@ -73,138 +70,141 @@
 
 struct EngineState {
   EngineRecord record;
-  EngineKey key;  // Of this life.
+  EngineKey key;  // Key of this incarnation.
   bool gone = false;
-  std::optional<Time> leaving_since;  // When this node learnt that it leaves.
+  std::optional<Time> leaving_since;  // When this node learned that the engine is leaving.
 
-  // This node's own work there.
+  // This node's own work in flight on the engine.
   int outstanding = 0;
   std::int64_t outstanding_prompt_tokens = 0;
 
-  // The last load told, and what this node had there at that time.
-  EngineLoad told;
+  // The last reported load, and this node's requests in flight when it was received.
+  EngineLoad reported_load;
   Time load_reported_at{};
   int outstanding_at_load_report = 0;
   bool has_reported_load = false;
 
-  // Other nodes' work there, from their reports.
+  // Work in flight of other nodes, from their reports.
   int peers_outstanding = 0;
   std::int64_t peers_prompt_tokens = 0;
 
-  RecentOutcomes outcomes;  // Of this node's calls.
-  double error_share = 0;   // Moving average over own answers.
+  RecentOutcomes outcomes;  // Outcomes of this node's requests.
+  double error_share = 0;   // Moving average over responses to this node.
   int answers = 0;
   int consecutive_failures = 0;
   Time ejected_until{};
-  Duration ejection = 0s;  // Length of the last one.
-  Duration backoff = 0s;   // Length of the last one; grows with each refusal in a row.
+  Duration ejection = 0s;  // Duration of the last ejection.
+  Duration backoff = 0s;   // Duration of the last backoff; doubles with each consecutive rejection.
   Time backed_off_until{};
-  int probation_limit = 0;  // Most of this node's requests there after an ejection; 0: no limit.
-  Time last_heard{};        // Any answer.
-  Time changing_until{};    // A stage change is under way.
-  Time held_until{};        // A stage change is announced.
+  int probation_limit = 0;  // Maximum number of this node's concurrent requests during probation; 0: no limit.
+  Time last_heard{};        // Time of the last response of any kind.
+  Time changing_until{};    // While a stage change is in progress.
+  Time held_until{};        // While a stage change is announced.
 
-  // Whether it should get no new work now, for whatever cause.
+  // Whether the engine should receive no new requests now, for any reason.
   bool IsOutOfService(Time now) const {
-    const bool trial_full = probation_limit > 0 && outstanding >= probation_limit;
-    return trial_full || now < std::max({ejected_until, backed_off_until, changing_until, held_until});
+    const bool probation_full = probation_limit > 0 && outstanding >= probation_limit;
+    return probation_full || now < std::max({ejected_until, backed_off_until, changing_until, held_until});
   }
 };
 
 struct EjectionPolicy {
-  int failures = 2;  // In a row.
-  Duration first = 1s;
-  Duration longest = 8s;
-  double error_share = 0.3;  // Above the other engines' mean.
-  int min_answers = 6;
+  int failures = 2;  // Consecutive failures that eject an engine.
+  Duration initial_ejection = 1s;
+  Duration max_ejection = 8s;
+  double error_share = 0.3;  // Above the mean of the service's other engines.
+  int min_responses = 6;
   double smoothing = 0.15;
-  // Most of a service's engines that may be out at once for their errors (one always
-  // may): beyond it the errors are more likely the service's or its load's.
+  // Maximum share of a service's engines that may be ejected for errors at once (one always may be). Beyond it, the
+  // cause is more likely the service itself or its load.
   double max_ejected_share = 0.34;
-  // The same for engines that are silent or not reached; work sent there is lost.
+  // The same for engines that are unresponsive or unreachable; requests sent there are lost.
   double max_unreachable_share = 0.8;
-  // Outcomes of all nodes together eject an engine from so many on: all of them failures, or a share above the
-  // other engines' as for one node's.
+  // Outcomes over all nodes eject an engine from this many failures on if no request succeeded. Otherwise
+  // `min_fleet_outcomes` outcomes are needed as well, with an error share above the other engines' as for one node's
+  // responses.
   int min_fleet_failures = 3;
   int min_fleet_outcomes = 8;
-  // At least, for nodes must not judge by outcomes from before; spread, so that a few nodes try first.
+  // Minimum ejection time, so that nodes do not judge by outcomes from before the ejection. Randomized, so that only a
+  // few nodes try the engine first.
   Duration min_fleet_ejection = 2s;
-  int full_trust_limit = 16;  // An engine on trial is trusted again from this limit on.
-  // After a refusal for lack of room; doubles up to the longest with each one in a row.
-  Duration first_backoff = 20ms;
-  Duration longest_backoff = 320ms;
+  int full_trust_limit = 16;  // Probation ends when the request limit reaches this value.
+  // Backoff after a rejection for lack of capacity; doubles with each consecutive rejection up to the maximum.
+  Duration initial_backoff = 20ms;
+  Duration max_backoff = 320ms;
 };
 
-// Why an engine's standing changed; goes into the log line.
+// A change of an engine's health, for the log.
 struct HealthChange {
   std::string engine;
   bool ejected = false;
   std::string cause;
   Duration span = 0s;
-  bool lost = false;  // It is silent or not reached, so what waits there may wait in vain.
+  // The engine is unresponsive or unreachable, so requests in flight there may never get a response.
+  bool lost = false;
 };
 
 class EngineDirectory {
  public:
   explicit EngineDirectory(const EjectionPolicy& policy) : policy_(policy) {}
 
-  // Replaces the whole collection: engines not among `records` are gone.
+  // Replaces the whole collection: engines not in `records` are marked as removed.
   void Replace(const std::vector<EngineRecord>& records);
   // Returns whether the record changed.
   bool Update(const EngineRecord& record);
   void Remove(const std::string& id);
-  // Forgets gone engines without work under way.
+  // Drops removed engines without requests in flight.
   void Sweep();
 
   EngineState* Find(const std::string& id);
   const std::map<std::string, EngineState>& all() const { return engines_; }
-  // Grows whenever a record has changed, come or gone; pointers to engines hold until then.
+  // Increases whenever a record is added, changed or removed; pointers to engines are valid until then.
   std::uint64_t generation() const { return generation_; }
   bool empty() const { return engines_.empty(); }
 
-  // Calls `visit` for each engine that is not gone, of whatever service.
+  // Calls `visit` for each engine that has not been removed, of any service.
   void ForEachPresent(const std::function<void(EngineState&)>& visit);
-  // Calls `visit` for each engine of the service that is neither gone nor leaving.
+  // Calls `visit` for each engine of the service that is neither removed nor leaving.
   void ForEachServing(const std::string& service, const std::function<void(EngineState&)>& visit);
 
-  // The same, with those that are leaving: they get no work, but what they keep can be copied until they are gone.
+  // The same including leaving engines: they receive no requests, but their cached parts can be copied until they are
+  // removed.
   void ForEachPresent(const std::string& service, const std::function<void(EngineState&)>& visit);
 
   void RecordLoad(const std::string& id, const EngineLoad& load, Time now);
-  // An answer of the engine's own; `failed`: an error of its own making.
+  // A response from the engine itself; `failed`: an error of its own.
   std::optional<HealthChange> RecordResponse(const std::string& id, bool failed, Time now);
-  // The engine did not run a request because it had no room, or because the
-  // request's time ran out in its queue.
+  // The engine did not run a request because it had no capacity, or because the request's deadline passed in its queue.
   void RecordRejection(const std::string& id, Time now);
-  // Another engine answers at its address: nothing goes there for long.
+  // Another engine responds at this engine's address: it is ejected for the maximum time.
   std::optional<HealthChange> RecordWrongEngine(const std::string& id, Time now);
-  // It refused the connection, fell silent, or broke an answer off.
+  // The engine refused the connection, did not respond, or aborted a response.
   std::optional<HealthChange> RecordFailure(const std::string& id, const std::string& cause, Time now);
-  // Judges engines by what all nodes saw of them lately; `peers`: the others' sums. `draw`: between 0 and 1.
+  // Ejects engines by their recent outcomes on all nodes. `peers`: totals of the other nodes. `draw`: random, 0 to 1.
   std::vector<HealthChange> EjectByFleetOutcomes(const std::map<EngineKey, EngineWork>& peers, double draw, Time now);
 
  private:
-  std::optional<HealthChange> EjectOneByFleetOutcomes(EngineState& engine, const EngineWork& seen,
+  std::optional<HealthChange> EjectOneByFleetOutcomes(EngineState& engine, const EngineWork& totals,
                                                       const EngineWork& service, double draw, Time now);
-  // Ejects unless `most_out` of the service's engines are out already.
-  std::optional<HealthChange> Eject(EngineState& engine, const std::string& cause, double most_out, Time now);
-  // Ejects whatever else is out.
+  // Ejects the engine unless a share `max_share` of the service's engines is ejected already.
+  std::optional<HealthChange> Eject(EngineState& engine, const std::string& cause, double max_share, Time now);
+  // Ejects the engine regardless of how many others are ejected.
   std::optional<HealthChange> EjectUnconditionally(EngineState& engine, const std::string& cause, Time now);
-  void NoteRecords();
-  // A good answer of an engine on trial.
+  void OnRecordsChanged();
+  // A successful response from an engine on probation.
   void RaiseProbationLimit(EngineState& engine) const;
   double PeerEnginesErrorShare(const EngineState& engine);
-  // Whether one more engine of the service may be taken out.
-  bool MayEjectMore(const std::string& service, double most_out, Time now);
+  // Whether one more engine of the service may be ejected.
+  bool MayEjectMore(const std::string& service, double max_share, Time now);
 
-  // What is kept of a service, so that an answer or a failure need not look at all of its engines.
+  // Aggregates of a service, so that a response or a failure need not be processed by visiting all of its engines.
   struct ServiceStats {
-    int serving = 0;                // Engines neither gone nor leaving.
-    int answered = 0;               // Engines that have answered this node.
-    double error_shares = 0;        // Their sum.
-    std::vector<EngineState*> out;  // Taken out lately.
+    int serving = 0;                            // Engines neither removed nor leaving.
+    int responding_engines = 0;                 // Engines that have responded to this node.
+    double error_share_sum = 0;                 // Sum over these engines.
+    std::vector<EngineState*> ejected_engines;  // Recently ejected engines.
 
-    // Counts the engine's answers, or no longer.
+    // Adds the engine's contribution if `sign` is 1, removes it if -1.
     void Count(const EngineState& engine, int sign);
   };
   ServiceStats& StatsOf(const std::string& service);
@@ -212,7 +212,7 @@
   EjectionPolicy policy_;
   std::map<std::string, EngineState> engines_;
   std::uint64_t generation_ = 0;
-  std::map<std::string, ServiceStats> service_stats_;  // Empty: to be counted anew.
+  std::map<std::string, ServiceStats> service_stats_;  // Recomputed on the next query when empty.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/engine_index.cc
+++ b/src/core/serving/engine_index.cc
@@ -5,21 +5,24 @@
 namespace saltquay::serving {
 namespace {
 
-// Points of a part on the ring. With so many the most loaded engine keeps a twentieth more than the mean.
+// Probe points per part on the hash ring. With this many, the most loaded engine gets about a twentieth more parts than
+// the mean.
 constexpr std::uint64_t kProbes = 21;
-// Engines that are drawn for one choice. Two would do against long queues; more find one that is nearly idle.
-constexpr int kDrawnInZone = 6;
-constexpr int kDrawnInRegion = 4;
-constexpr int kDrawnAnywhere = 4;
-// Sums over many engines may be so old: other nodes' work is known a tenth of a second late anyway.
-constexpr Duration kSumsAge = 20ms;
-
-void DrawFrom(const std::vector<IndexedEngine>& engines, int count, Random& random, std::vector<IndexedEngine>& drawn) {
+// Number of engines sampled for one choice. Two would be enough to avoid long queues; more make it likely to find an
+// engine that is nearly idle.
+constexpr int kSampledInZone = 6;
+constexpr int kSampledInRegion = 4;
+constexpr int kSampledAnywhere = 4;
+// Totals over many engines may be this old: other nodes' work is known only a tenth of a second late anyway.
+constexpr Duration kTotalsMaxAge = 20ms;
+
+void SampleFrom(const std::vector<IndexedEngine>& engines, int count, Random& random,
+                std::vector<IndexedEngine>& sampled) {
   if (engines.empty()) return;
-  for (int i = 0; i < count; ++i) drawn.push_back(engines[random.Below(engines.size())]);
+  for (int i = 0; i < count; ++i) sampled.push_back(engines[random.Below(engines.size())]);
 }
 
-// A home that is only full stays the home: its parts are there.
+// A home engine that is merely at capacity stays the home, because the parts are cached there.
 bool IsEjectedOrChanging(const EngineState& engine, Time now) {
   return now < std::max({engine.ejected_until, engine.held_until, engine.changing_until});
 }
@@ -27,8 +30,8 @@
 }  // namespace
 
 void EngineGroup::Add(const IndexedEngine& member, std::size_t region) {
-  const auto grow = [](auto& list, std::size_t place) {
-    if (list.size() <= place) list.resize(place + 1);
+  const auto grow = [](auto& list, std::size_t index) {
+    if (list.size() <= index) list.resize(index + 1);
   };
   grow(by_zone_, member.zone);
   grow(regions_, region);
@@ -40,41 +43,42 @@
   ring_.emplace_back(point, member.engine);
 }
 
-void EngineGroup::Draw(std::size_t zone, std::size_t region, Random& random, std::vector<IndexedEngine>& drawn) const {
-  if (zone < by_zone_.size()) DrawFrom(by_zone_[zone], kDrawnInZone, random, drawn);
-  if (region < regions_.size()) DrawFrom(regions_[region].engines, kDrawnInRegion, random, drawn);
-  DrawFrom(all_, kDrawnAnywhere, random, drawn);
+void EngineGroup::Sample(std::size_t zone, std::size_t region, Random& random,
+                         std::vector<IndexedEngine>& sampled) const {
+  if (zone < by_zone_.size()) SampleFrom(by_zone_[zone], kSampledInZone, random, sampled);
+  if (region < regions_.size()) SampleFrom(regions_[region].engines, kSampledInRegion, random, sampled);
+  SampleFrom(all_, kSampledAnywhere, random, sampled);
 }
 
 namespace {
 
-// The two engines that come first among those that are considered; `past`: one that is a home already.
+// Keeps the two engines with the smallest distance. `excluded`: an engine that is a home already and is skipped.
 class BestTwo {
  public:
-  explicit BestTwo(const EngineState* past) : past_(past) {}
+  explicit BestTwo(const EngineState* excluded) : excluded_(excluded) {}
 
-  void Consider(const EngineState* engine, std::uint64_t gap) {
-    if (engine == past_) return;
+  void Consider(const EngineState* engine, std::uint64_t distance) {
+    if (engine == excluded_) return;
     if (engine == homes_.first) {
-      first_gap_ = std::min(first_gap_, gap);
-    } else if (homes_.first == nullptr || gap < first_gap_) {
+      first_distance_ = std::min(first_distance_, distance);
+    } else if (homes_.first == nullptr || distance < first_distance_) {
       homes_.second = std::exchange(homes_.first, engine);
-      second_gap_ = std::exchange(first_gap_, gap);
-    } else if (homes_.second == nullptr || gap < second_gap_) {
+      second_distance_ = std::exchange(first_distance_, distance);
+    } else if (homes_.second == nullptr || distance < second_distance_) {
       homes_.second = engine;
-      second_gap_ = gap;
+      second_distance_ = distance;
     }
   }
   const HomeEngines& homes() const { return homes_; }
 
  private:
-  const EngineState* past_;
+  const EngineState* excluded_;
   HomeEngines homes_;
-  std::uint64_t first_gap_ = 0;
-  std::uint64_t second_gap_ = 0;
+  std::uint64_t first_distance_ = 0;
+  std::uint64_t second_distance_ = 0;
 };
 
-// Rendezvous hashing: even for any number of engines, but it looks at all of them.
+// Rendezvous hashing: uniform for any number of engines, but it visits all of them.
 void RankAll(const EngineRing& ring, std::uint64_t part, Time now, BestTwo& order) {
   for (const auto& [point, engine] : ring) {
     if (!IsEjectedOrChanging(*engine, now)) order.Consider(engine, ~HashPair(part, engine->key.hash));
@@ -93,7 +97,7 @@
       ++usable;
       order.Consider(at->second, at->first - point);
     }
-    if (usable == 0) return;  // All are away.
+    if (usable == 0) return;  // No engine is usable.
   }
 }
 
@@ -112,25 +116,25 @@
   return homes;
 }
 
-const GroupTotals& EngineGroup::Sums(Time now) {
-  if (!few() && now - summed_at_ < kSumsAge) return sums_;
-  summed_at_ = now;
-  sums_.in_service = 0;
-  sums_.peers_outstanding = 0;
-  sums_.waiting_tokens.assign(regions_.size(), 0);
+const GroupTotals& EngineGroup::Totals(Time now) {
+  if (!AllowsFullScan() && now - totals_computed_at_ < kTotalsMaxAge) return totals_;
+  totals_computed_at_ = now;
+  totals_.in_service = 0;
+  totals_.peers_outstanding = 0;
+  totals_.waiting_tokens.assign(regions_.size(), 0);
   for (std::size_t region = 0; region < regions_.size(); ++region) {
     double tokens = 0;
     for (const IndexedEngine& member : regions_[region].engines) {
       const EngineState& engine = *member.engine;
       tokens += static_cast<double>(engine.outstanding_prompt_tokens + engine.peers_prompt_tokens);
       if (engine.IsOutOfService(now)) continue;
-      ++sums_.in_service;
-      sums_.peers_outstanding += engine.peers_outstanding;
+      ++totals_.in_service;
+      totals_.peers_outstanding += engine.peers_outstanding;
     }
-    sums_.waiting_tokens[region] =
+    totals_.waiting_tokens[region] =
         tokens / static_cast<double>(std::max<std::size_t>(1, regions_[region].engines.size()));
   }
-  return sums_;
+  return totals_;
 }
 
 std::size_t EngineIndex::AddZone(const std::string& zone, const Topology& topology) {
--- a/src/core/serving/engine_index.h
+++ b/src/core/serving/engine_index.h
@@ -1,14 +1,11 @@
-// Engines by service and stage, arranged so that a choice among them need not look at all.
+// Engines by service and stage, indexed so that a choice need not visit all of them.
 //
-// Protocol. It is arranged anew when the directory's records have changed; loads
-// and standings are read from the engines themselves. The homes of a prompt part
-// come from an order that every node of the region computes alike: of few engines
-// by rendezvous hashing, of many those that come next after several points of the
-// part on a ring of the engines' keys (multi-probe consistent hashing), in a time
-// that grows with the logarithm of the engines. Either way an engine that comes or
-// goes moves its own parts only; a region that grows past few engines moves all of
-// them once, and copies them from where they are kept. Sums over many engines are a
-// few milliseconds old.
+// The index is rebuilt when the directory's records have changed; load and health are read from the engines themselves.
+// The home engines of a prompt part come from an order that every node of the region computes identically: by
+// rendezvous hashing for few engines, and by multi-probe consistent hashing for many, where several probe points of the
+// part are looked up on a ring of the engines' keys in time logarithmic in the number of engines. Either way, adding or
+// removing an engine moves only the parts of that engine. A region that grows past kMaxFullScanEngines moves all parts
+// once; they are copied from the engines that have them cached. Totals over many engines may be a few milliseconds old.
 #pragma once
 
 #include <cstdint>
@@ -24,40 +21,40 @@
 
 namespace saltquay::serving {
 
-// Up to so many engines each choice looks at all of them.
+// Up to this many engines, each choice visits all of them.
 constexpr std::size_t kMaxFullScanEngines = 64;
 
 struct IndexedEngine {
   EngineState* engine = nullptr;
-  std::size_t zone = 0;  // Its place in EngineIndex::zones().
+  std::size_t zone = 0;  // Index into EngineIndex::zones().
 };
 
-// Two engines that keep a prompt part first of all; nullptr: there is none.
+// The two preferred engines for caching a prompt part; nullptr if there is none.
 struct HomeEngines {
   const EngineState* first = nullptr;
   const EngineState* second = nullptr;
 };
 
-// What waits at the engines of a group.
+// Work in flight on the engines of a group.
 struct GroupTotals {
-  int in_service = 0;                  // Engines that may get work now.
-  int peers_outstanding = 0;           // Requests of other nodes there.
-  std::vector<double> waiting_tokens;  // Prompt tokens to be read at an engine on average, by region.
+  int in_service = 0;                  // Engines that may receive requests now.
+  int peers_outstanding = 0;           // Requests in flight of other nodes.
+  std::vector<double> waiting_tokens;  // Mean number of prompt tokens waiting for prefill per engine, by region.
 };
 
 // Engines by the hash of their keys.
 using EngineRing = std::vector<std::pair<std::uint64_t, const EngineState*>>;
 
-// Engines of one service and stage that are neither gone nor leaving.
+// Engines of one service and stage that are neither removed nor leaving.
 class EngineGroup {
  public:
   const std::vector<IndexedEngine>& all() const { return all_; }
-  bool few() const { return all_.size() <= kMaxFullScanEngines; }
-  // Some at random: most of the zone, others of its region, some of anywhere. Repeats are possible.
-  void Draw(std::size_t zone, std::size_t region, Random& random, std::vector<IndexedEngine>& drawn) const;
-  // Homes in the region first, then anywhere.
+  bool AllowsFullScan() const { return all_.size() <= kMaxFullScanEngines; }
+  // Appends a random sample: most from the zone, some from its region, some from anywhere. It may contain duplicates.
+  void Sample(std::size_t zone, std::size_t region, Random& random, std::vector<IndexedEngine>& sampled) const;
+  // Home engines in the region if there are any, otherwise in any region.
   HomeEngines FindHomeEngines(std::uint64_t part, std::size_t region, Time now) const;
-  const GroupTotals& Sums(Time now);
+  const GroupTotals& Totals(Time now);
 
  private:
   friend class EngineIndex;
@@ -67,15 +64,15 @@
   };
 
   void Add(const IndexedEngine& member, std::size_t region);
-  // Fills what is open of `homes` from the ring.
+  // Fills the empty entries of `homes` from the ring.
   static void AddHomeEngines(const EngineRing& ring, std::uint64_t part, Time now, HomeEngines& homes);
 
   std::vector<IndexedEngine> all_;
   std::vector<std::vector<IndexedEngine>> by_zone_;
   std::vector<Region> regions_;
-  EngineRing ring_;  // Of all.
-  GroupTotals sums_;
-  Time summed_at_{};
+  EngineRing ring_;  // Of all engines.
+  GroupTotals totals_;
+  Time totals_computed_at_{};
 };
 
 class EngineIndex {
@@ -85,16 +82,16 @@
     std::size_t region = 0;
   };
 
-  // Arranges the engines anew if their records have changed.
+  // Rebuilds the index if the records have changed.
   void Refresh(EngineDirectory& engines, const Topology& topology);
 
   EngineGroup& GroupOf(const std::string& service, EngineStage stage) { return groups_[{service, stage}]; }
-  // Engines of the service that are not gone; some may be leaving.
+  // Engines of the service that have not been removed, including leaving ones.
   const std::vector<EngineState*>& PresentOf(const std::string& service) { return present_[service]; }
-  // nullptr: it is gone.
+  // Returns nullptr if the engine was removed.
   EngineState* FindPresent(const EngineKey& key) const;
   const std::vector<Zone>& zones() const { return zones_; }
-  // Place of the zone; the own one's, where no engine lies in it.
+  // Index of the zone, or of this node's own zone if no engine is in it.
   std::size_t ZoneIndexOf(const std::string& zone) const;
   std::size_t own_zone() const { return own_zone_; }
 
--- a/src/core/serving/engine_key.h
+++ b/src/core/serving/engine_key.h
@@ -1,4 +1,4 @@
-// Engines as messages between nodes and lookups name them: by a hash of their ids.
+// Identifies engines in messages between nodes and in lookups by a hash of their ids.
 #pragma once
 
 #include <compare>
@@ -11,14 +11,14 @@
 
 namespace saltquay::serving {
 
-// 64 bits of an engine's id. With 11,000 engines two share a key once in 10^11 fleets; that would
-// only mix up what is known of their load.
+// A 64-bit hash of an engine's id. With 11,000 engines, two share a key in one of 10^11 fleets; the only effect would
+// be that their reported loads are mixed up.
 struct EngineKey {
   std::uint64_t hash = 0;
 
   EngineKey() = default;
   explicit EngineKey(std::uint64_t value) : hash(value) {}
-  // An engine's id.
+  // From an engine's id.
   template <typename Text>
   // NOLINTNEXTLINE(google-explicit-constructor): an id and its key name the same engine.
   requires std::convertible_to<Text, std::string_view> EngineKey(const Text& id) : hash(HashText(id)) {}
@@ -26,10 +26,10 @@
   auto operator<=>(const EngineKey&) const = default;
 };
 
-// A prompt part that an engine has read lately and keeps.
+// A prompt part that an engine has recently processed and caches.
 struct KeptPart {
   EngineKey engine;
-  std::uint64_t part = 0;  // Hash of its id.
+  std::uint64_t part = 0;  // Hash of the part's id.
 
   auto operator<=>(const KeptPart&) const = default;
 };
--- a/src/core/serving/engine_selector.h
+++ b/src/core/serving/engine_selector.h
@@ -1,17 +1,16 @@
-// Chooses the engine of an attempt.
+// Chooses the engine for an attempt.
 //
-// An engine costs what waits there and the way to it, both in milliseconds: work
-// stays near until the queue there is longer than the way to another zone or
-// region. Uniform engines: the cheapest. Prompts are read at a home: the engines of
-// the own region are ranked for a shared prompt part by rendezvous hashing, which
-// every node of the region computes alike, so a part is kept by one engine of each
-// region without any talk; another engine is taken when the home's backlog costs
-// more than reading the part again. Memory is then used by the cheapest decode
-// engine, of which the way to what holds the memory is a part.
+// The cost of an engine is its queueing delay plus the weighted network latency to it, both in milliseconds: requests
+// stay local until the local queue costs more than the latency to another zone or region. For uniform engines the
+// cheapest is chosen. For prefill, the engines of the node's own region are ranked for a shared prompt part by
+// rendezvous hashing. Every node of the region computes the same ranking, so each region caches a part on one home
+// engine without coordination. Another engine is chosen when the home engine's backlog costs more than recomputing the
+// part. Decoding then goes to the cheapest decode engine, where the cost includes the latency to the engine that holds
+// the KV cache.
 //
-// Of few engines the cheapest of all is taken; of many the cheapest of the homes,
-// of those that keep the prompt's parts and of some drawn at random, so that a
-// choice does not take longer the more engines there are (engine_index.h).
+// If there are few engines, all of them are compared. If there are many, only the home engines, the engines known to
+// cache the prompt's parts and a random sample are compared, so that the time of a choice does not grow with the number
+// of engines (engine_index.h).
 #pragma once
 
 #include <set>
@@ -30,13 +29,13 @@
 
 using EngineIds = std::set<std::string>;
 
-// Engines, and what the peers have under way there.
+// Number of engines, and the peers' requests in flight on them.
 struct EngineCount {
   int engines = 0;
   int peers_outstanding = 0;
 };
 
-// What other nodes have started since they told of their work, over all engines; a guess.
+// Estimated work that other nodes have started since their last reports, over all engines.
 struct UnreportedWork {
   double prompt_tokens = 0;
   double requests = 0;
@@ -49,92 +48,91 @@
         topology_(zone, parameters.regions, parameters.distances),
         zone_(zone),
         random_(seed),
-        reading_(parameters.reading),
-        kept_(parameters.cached_part_lifetime) {}
+        prefill_time_model_(parameters.reading),
+        prompt_cache_(parameters.cached_part_lifetime) {}
 
   const Topology& topology() const { return topology_; }
   Topology& topology() { return topology_; }
 
-  // Each returns nullptr where no engine can take the attempt. Engines in
-  // `tried` are taken only when `tried` says nothing else is left, never twice.
+  // Each of the following returns nullptr if no engine can take the attempt. Engines in `tried` are never chosen.
   EngineState* ChooseUniformEngine(EngineDirectory& engines, const std::string& service, const EngineIds& tried,
                                    Time now);
-  // The engine that reads the prompt: of stage kPrefill, or of kUniform where
-  // the service's engines read and answer alike.
+  // The engine for the prompt's prefill: of stage kPrefill, or of kUniform if the service's engines do both stages.
   EngineState* ChoosePrefillEngine(EngineDirectory& engines, const std::string& service, EngineStage stage,
                                    const PromptMetadata& prompt, const EngineIds& tried, Time now);
-  // Whether any engine of the service reads prompts apart, those in `tried` aside.
+  // Whether the service has a prefill engine that is not in `tried`.
   bool HasPrefillEngine(EngineDirectory& engines, const std::string& service, const EngineIds& tried);
-  // Engines of the service and stage that may get work.
+  // Engines of the service and stage that may receive requests.
   EngineCount CountEngines(EngineDirectory& engines, const std::string& service, EngineStage stage, Time now);
-  // Milliseconds to read the prompt where most of it is kept.
+  // Prefill time in milliseconds on the engine that caches most of the prompt.
   double MinPrefillMs(EngineDirectory& engines, const std::string& service, const PromptMetadata& prompt, Time now);
-  // The engine from which `reader` should copy what it lacks of the prompt's
-  // shared parts: the one that is known to keep most, a near one of equals,
-  // else the first home; nullptr where copying saves nothing.
-  const EngineState* FindCopySource(EngineDirectory& engines, const EngineState& reader, const PromptMetadata& prompt,
-                                    Time now);
+  // The engine from which `prefill_engine` should copy the shared parts of the prompt that it lacks: the one known to
+  // cache the most, the nearest among equals, otherwise the first home engine. Returns nullptr if copying saves
+  // nothing.
+  const EngineState* FindCopySource(EngineDirectory& engines, const EngineState& prefill_engine,
+                                    const PromptMetadata& prompt, Time now);
   EngineState* ChooseDecodeEngine(EngineDirectory& engines, const std::string& service,
                                   const std::string& kv_cache_zone, const EngineIds& tried, Time now);
 
-  // Notes that the engine reads the prompt: its shared parts are there then.
+  // Records that the engine processes the prompt and will cache its shared parts.
   void RecordPrefill(const EngineKey& engine, const PromptMetadata& prompt, Time now) {
-    kept_.RecordPrefill(engine, prompt, now);
+    prompt_cache_.RecordPrefill(engine, prompt, now);
   }
-  // A peer's news of the same kind.
-  void RecordCachedPart(const KeptPart& kept, Time now) { kept_.RecordCachedPart(kept, now); }
-  // What this node noted by itself since `since`, for the peers.
-  std::vector<KeptPart> CacheUpdatesSince(Time since) { return kept_.CacheUpdatesSince(since); }
-  // Tokens that the engine would read of the prompt, as far as is known.
+  // The same from a peer's report.
+  void RecordCachedPart(const KeptPart& cached, Time now) { prompt_cache_.RecordCachedPart(cached, now); }
+  // Cache updates recorded by this node since `since`, for reports to peers.
+  std::vector<KeptPart> CacheUpdatesSince(Time since) { return prompt_cache_.CacheUpdatesSince(since); }
+  // Estimated number of the prompt's tokens that the engine has to process.
   int TokensToPrefill(const EngineKey& engine, const PromptMetadata& prompt, Time now) const {
-    return kept_.TokensToPrefill(engine, prompt, now);
+    return prompt_cache_.TokensToPrefill(engine, prompt, now);
   }
-  // A prefill that was alone at its engine, as far as is known, took that long.
-  void RecordPrefillTime(std::int64_t tokens, Duration time) { reading_.note(tokens, time); }
+  // Duration of a prefill that, as far as is known, ran alone on its engine.
+  void RecordPrefillTime(std::int64_t tokens, Duration time) { prefill_time_model_.note(tokens, time); }
 
-  // Work under way at the engine, of all nodes, as far as is known.
+  // Estimated requests in flight of all nodes on the engine.
   double EstimatedLoad(const EngineState& engine, Time now) const;
-  // Whether other nodes report their work; else it is guessed from told loads.
+  // Whether other nodes report their work. If not, it is estimated from the load that engines report.
   void set_has_peer_reports(bool known) { has_peer_reports_ = known; }
-  void set_unreported_work(const UnreportedWork& unseen) { unreported_work_ = unseen; }
-  // Prompt tokens that an engine reads in a millisecond.
-  double read_rate() const { return reading_.median_rate(); }
-  const admission::PrefillTimeModel& reading() const { return reading_; }
+  void set_unreported_work(const UnreportedWork& unreported) { unreported_work_ = unreported; }
+  // Prompt tokens processed per millisecond.
+  double read_rate() const { return prefill_time_model_.median_rate(); }
+  const admission::PrefillTimeModel& reading() const { return prefill_time_model_; }
 
  private:
   using Candidates = std::vector<IndexedEngine>;
 
-  // Those in `candidates`, or all of the group where none of them can take the attempt now.
+  // Chooses from `candidates`, or from the whole group if none of them can take the attempt now.
   template <typename Cost>
   EngineState* Cheapest(const EngineGroup& group, const Candidates& candidates, const EngineIds& tried, Time now,
                         Cost cost);
   template <typename Cost>
   EngineState* CheapestOf(const Candidates& candidates, const EngineIds& tried, Time now, Cost cost);
-  // The group's engines if they are few, else some that are drawn, most of them near `zone`.
+  // All engines of the group if there are few, otherwise a random sample, mostly near `zone`.
   const Candidates& CandidatesOf(const EngineGroup& group, std::size_t zone);
-  // Engines of the stage that are known to keep parts of the prompt.
+  // Adds engines of the stage that are known to cache parts of the prompt.
   void AddCachingEngines(const std::string& service, EngineStage stage, const PromptMetadata& prompt,
                          Candidates& candidates);
   EngineGroup& GroupOf(EngineDirectory& engines, const std::string& service, EngineStage stage);
-  // The engine that is known to keep most of the prompt's shared parts; nullptr: none keeps any.
-  const EngineState* FindCachingEngine(EngineDirectory& engines, const EngineState& reader,
+  // The engine known to cache most of the prompt's shared parts; nullptr if none caches any.
+  const EngineState* FindCachingEngine(EngineDirectory& engines, const EngineState& prefill_engine,
                                        const PromptMetadata& prompt, Time now);
-  // The first two homes of the part that decides where the prompt is read.
+  // The home engines of the part that determines where the prompt is processed.
   HomeEngines FindHomeEngines(const EngineGroup& group, const PromptMetadata& prompt, Time now) const;
   double RoundTripMs(std::string_view first, std::string_view second) const;
-  // Of each zone of the index: milliseconds of queueing that the way there is worth; that of the memory's way is added.
+  // By zone of the index: the network latency to it, in equivalent milliseconds of queueing, including the transfer of
+  // the KV cache if `kv_cache_zone` is given.
   std::vector<double> NetworkCosts(const std::string& kv_cache_zone = "") const;
-  // Milliseconds that an answer waits at the engine, one of `engines`, for the others there.
+  // Milliseconds by which the engine's load delays a decode; `engines`: number of engines to choose from.
   double DecodeCost(const EngineState& engine, std::size_t engines, Time now);
-  // Between nothing and twice an engine's part of `unseen`, at random.
-  double DrawUnreportedWork(double unseen, std::size_t engines);
-  // Of each region, what reading a part once more is worth there beyond its usual weight. What is read once more in a
-  // region that is idle takes time from nobody.
+  // A random value between 0 and twice one engine's share of `unreported`.
+  double DrawUnreportedWork(double unreported, std::size_t engines);
+  // By region: additional weight of recomputing a part while prefill work is queued there. In an idle region,
+  // recomputing takes time from no other request.
   std::vector<double> BacklogPressure(EngineGroup& group, Time now) const;
-  // Milliseconds until the prompt is read there, the way aside; `lacking_ms`: what shared parts that the engine does
-  // not keep cost there.
-  double PrefillCost(const EngineState& engine, const PromptMetadata& prompt, double lacking_ms, Time now) const;
-  // Milliseconds to read what the engine lacks of the prompt's shared parts.
+  // Milliseconds until the prefill is complete, without network latency. `uncached_ms`: cost of the shared parts that
+  // the engine does not cache.
+  double PrefillCost(const EngineState& engine, const PromptMetadata& prompt, double uncached_ms, Time now) const;
+  // Milliseconds to compute the shared parts of the prompt that the engine does not cache.
   double UncachedPrefillMs(const EngineState& engine, const PromptMetadata& prompt, Time now) const;
 
   ServingParameters parameters_;
@@ -143,11 +141,11 @@
   Random random_;
   bool has_peer_reports_ = false;
   UnreportedWork unreported_work_;
-  admission::PrefillTimeModel reading_;
-  std::uint64_t turn_ = 0;
-  PromptCacheIndex kept_;
+  admission::PrefillTimeModel prefill_time_model_;
+  std::uint64_t next_round_robin_ = 0;
+  PromptCacheIndex prompt_cache_;
   EngineIndex index_;
-  Candidates drawn_;  // Kept for its memory.
+  Candidates sampled_;  // Member only to reuse its allocation.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -14,12 +14,12 @@
   return report.boot > known.boot || (report.boot == known.boot && report.sequence > known.sequence);
 }
 
-// Sums that are told by key.
+// Sums the parts of reports that are identified by a key.
 class ReportSum {
  public:
   void Add(const PeerReport& report, Duration age) {
     nodes_ += report.nodes;
-    ages_ += (age + report.age) * report.nodes;
+    age_sum_ += (age + report.age) * report.nodes;
     for (const EngineWork& work : report.work) work_[work.engine].Add(work);
     demand_.Add(report.demand);
     for (const EngineHold& hold : report.holds) {
@@ -34,7 +34,7 @@
   }
   void MoveTo(PeerReport& report) const {
     report.nodes = nodes_;
-    report.age = nodes_ > 0 ? ages_ / nodes_ : 0s;
+    report.age = nodes_ > 0 ? age_sum_ / nodes_ : 0s;
     for (const auto& [key, work] : work_) report.work.push_back(work);
     report.demand = demand_.All();
     for (const auto& [engine, left] : holds_) {
@@ -46,7 +46,7 @@
 
  private:
   int nodes_ = 0;
-  Duration ages_ = 0s;  // Of all nodes together.
+  Duration age_sum_ = 0s;  // Sum over all nodes.
   std::map<EngineKey, EngineWork> work_;
   DemandSum demand_;
   std::map<std::string, Duration> holds_;
@@ -58,7 +58,7 @@
 
 bool FleetExchange::aggregates(Time now) const {
   return std::any_of(nodes_.begin(), nodes_.end(),
-                     [&](const auto& entry) { return now - entry.second.at < parameters_.memory; });
+                     [&](const auto& entry) { return now - entry.second.at < parameters_.report_expiry; });
 }
 
 bool FleetExchange::Note(const PeerReport& report, Time now) {
@@ -75,71 +75,73 @@
     RecordRegionDigest(report, now);
     return false;
   }
-  const auto asked = asked_.find(report.node);
-  if (asked != asked_.end()) asked->second.digest = now;
-  if (IsMoreComplete(view_, view_heard_, report, now, parameters_.interval)) return false;
+  const auto contact = contacts_.find(report.node);
+  if (contact != contacts_.end()) contact->second.digest = now;
+  if (IsMoreComplete(view_, view_received_at_, report, now, parameters_.interval)) return false;
   UpdateView(report, now);
   return true;
 }
 
 void FleetExchange::RecordZoneDigest(const PeerReport& report, Time now) {
-  if (report.zone == self_.zone || !IsNear(report.zone)) return;
-  Heard& sender = zone_senders_[report.node];
+  if (report.zone == self_.zone || !IsLocalZone(report.zone)) return;
+  Received& sender = zone_senders_[report.node];
   if (sender.at != Time{} && !IsNewer(report, sender.report)) return;
   sender = {report, now};
-  Heard& zone = zones_[report.zone];
+  Received& zone = zones_[report.zone];
   if (!IsMoreComplete(zone.report, zone.at, report, now, parameters_.interval)) zone = sender;
   RecordCacheUpdates(report, now);
 }
 
 void FleetExchange::RecordRegionDigest(const PeerReport& report, Time now) {
-  if (IsNear(report.zone)) return;
-  Heard& sender = region_senders_[report.node];
+  if (IsLocalZone(report.zone)) return;
+  Received& sender = region_senders_[report.node];
   if (sender.at != Time{} && !IsNewer(report, sender.report)) return;
   sender = {report, now};
-  Heard& region = regions_[std::string(topology_.RegionOf(report.zone))];
+  Received& region = regions_[std::string(topology_.RegionOf(report.zone))];
   if (!IsMoreComplete(region.report, region.at, report, now, parameters_.region_interval)) region = sender;
   if (report.scope == ReportScope::kRegion) to_forward_[report.node] = sender;
   RecordCacheUpdates(report, now);
 }
 
-bool FleetExchange::IsMoreComplete(const PeerReport& known, Time known_at, const PeerReport& report, Time now,
+bool FleetExchange::IsMoreComplete(const PeerReport& known, Time known_received_at, const PeerReport& report, Time now,
                                    Duration interval) const {
-  const bool fresh = known_at != Time{} && now - known_at <= 2 * interval;
+  const bool fresh = known_received_at != Time{} && now - known_received_at <= 2 * interval;
   return fresh && known.node != report.node && report.nodes < parameters_.min_completeness * known.nodes;
 }
 
 void FleetExchange::Aggregate(const PeerReport& report, Time now) {
-  Heard& heard = nodes_[report.node];
-  if (heard.at != Time{} && !IsNewer(report, heard.report)) return;
-  heard.report = report;
-  heard.at = now;
+  Received& received = nodes_[report.node];
+  if (received.at != Time{} && !IsNewer(report, received.report)) return;
+  received.report = report;
+  received.at = now;
   RecordCacheUpdates(report, now);
 }
 
 void FleetExchange::RecordCacheUpdates(const PeerReport& report, Time now) {
   for (const KeptPart& kept : report.kept) {
-    Passed& passed = news_[kept];
-    if (passed.first == Time{} || now - passed.first > parameters_.cache_update_suppress_time) passed.first = now;
-    passed.last = now;
+    ForwardedUpdate& forwarded = cache_updates_[kept];
+    if (forwarded.first == Time{} || now - forwarded.first > parameters_.cache_update_suppress_time)
+      forwarded.first = now;
+    forwarded.last = now;
   }
 }
 
-void FleetExchange::Forget(Time now) {
-  std::erase_if(nodes_, [&](const auto& entry) { return now - entry.second.at > parameters_.memory; });
-  std::erase_if(zones_, [&](const auto& entry) { return now - entry.second.at > parameters_.memory; });
-  std::erase_if(zone_senders_, [&](const auto& entry) { return now - entry.second.at > parameters_.memory; });
-  std::erase_if(regions_, [&](const auto& entry) { return now - entry.second.at > parameters_.region_memory; });
-  std::erase_if(region_senders_, [&](const auto& entry) { return now - entry.second.at > parameters_.region_memory; });
-  std::erase_if(news_,
+void FleetExchange::ExpireOld(Time now) {
+  std::erase_if(nodes_, [&](const auto& entry) { return now - entry.second.at > parameters_.report_expiry; });
+  std::erase_if(zones_, [&](const auto& entry) { return now - entry.second.at > parameters_.report_expiry; });
+  std::erase_if(zone_senders_, [&](const auto& entry) { return now - entry.second.at > parameters_.report_expiry; });
+  std::erase_if(regions_, [&](const auto& entry) { return now - entry.second.at > parameters_.region_report_expiry; });
+  std::erase_if(region_senders_,
+                [&](const auto& entry) { return now - entry.second.at > parameters_.region_report_expiry; });
+  std::erase_if(cache_updates_,
                 [&](const auto& entry) { return now - entry.second.last > parameters_.cache_update_suppress_time; });
   std::erase_if(excluded_until_, [&](const auto& entry) { return entry.second <= now; });
 }
 
-// The first nodes of the zone of which none was silent. This node may be one of them.
+// The first nodes of the zone's ranking that are not excluded. This node may be one of them.
 std::vector<PeerNode> FleetExchange::ChooseAggregators(Time now, const std::vector<PeerNode>& peers) {
-  for (const auto& [node, asked] : asked_) {
-    const Time last = std::max(asked.since, asked.digest);
+  for (const auto& [node, contact] : contacts_) {
+    const Time last = std::max(contact.since, contact.digest);
     if (now - last > parameters_.silence) excluded_until_[node] = now + parameters_.exclusion_time;
   }
   std::vector<PeerNode> chosen;
@@ -147,21 +149,21 @@
     if (chosen.size() == static_cast<std::size_t>(parameters_.aggregators)) break;
     if (!excluded_until_.contains(ranked.node->node)) chosen.push_back(*ranked.node);
   }
-  std::map<std::string, Asked> asked;
+  std::map<std::string, AggregatorContact> contacts;
   for (const PeerNode& aggregator : chosen) {
     if (aggregator.node == self_.node) continue;
-    const auto before = asked_.find(aggregator.node);
-    asked[aggregator.node] = before == asked_.end() ? Asked{now, Time{}} : before->second;
+    const auto before = contacts_.find(aggregator.node);
+    contacts[aggregator.node] = before == contacts_.end() ? AggregatorContact{now, Time{}} : before->second;
   }
-  asked_ = std::move(asked);
+  contacts_ = std::move(contacts);
   return chosen;
 }
 
 std::vector<FleetMessage> FleetExchange::Tick(Time now, const PeerReport& own, const std::vector<PeerNode>& peers) {
   std::vector<FleetMessage> messages;
-  Forget(now);
+  ExpireOld(now);
   if (!IsLarge(peers)) {
-    asked_.clear();
+    contacts_.clear();
     return messages;
   }
   FleetMessage report{{}, own};
@@ -177,8 +179,9 @@
     SendZoneDigest(now, own, peers, messages);
     SendRegionDigest(now, own, peers, aggregators, messages);
     FleetMessage digest{{}, Sum(ReportScope::kFleet, own, now)};
-    for (const auto& [node, heard] : nodes_) digest.addresses.push_back(heard.report.address);
-    if (!IsMoreComplete(view_, view_heard_, digest.report, now, parameters_.interval)) UpdateView(digest.report, now);
+    for (const auto& [node, received] : nodes_) digest.addresses.push_back(received.report.address);
+    if (!IsMoreComplete(view_, view_received_at_, digest.report, now, parameters_.interval))
+      UpdateView(digest.report, now);
     messages.push_back(std::move(digest));
   }
   ForwardRegionDigests(now, peers, aggregators, messages);
@@ -189,19 +192,19 @@
   return messages;
 }
 
-// To one aggregator of each other zone near, by turns: those that are heard, and the first in the zone's ranking while
-// fewer are.
+// Sent to one aggregator of each other zone of the region, round-robin over those that digests were received from, plus
+// the first of the zone's ranking while there are too few.
 void FleetExchange::SendZoneDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
                                    std::vector<FleetMessage>& messages) {
   FleetMessage digest{{}, Sum(ReportScope::kZone, own, now)};
   std::set<std::string> zones;
   for (const PeerNode& peer : peers) zones.insert(peer.zone);
   zones.erase(self_.zone);
-  std::erase_if(zones, [&](const std::string& zone) { return !IsNear(zone); });
-  ++zone_turn_;
+  std::erase_if(zones, [&](const std::string& zone) { return !IsLocalZone(zone); });
+  ++zone_round_robin_;
   for (const std::string& zone : zones) {
     const std::vector<std::string> aggregators = AggregatorsOf(zone, peers);
-    if (!aggregators.empty()) digest.addresses.push_back(aggregators[zone_turn_ % aggregators.size()]);
+    if (!aggregators.empty()) digest.addresses.push_back(aggregators[zone_round_robin_ % aggregators.size()]);
   }
   messages.push_back(std::move(digest));
 }
@@ -209,8 +212,8 @@
 std::vector<std::string> FleetExchange::AggregatorsOf(const std::string& zone,
                                                       const std::vector<PeerNode>& peers) const {
   std::vector<std::string> addresses;
-  for (const auto& [node, heard] : zone_senders_) {
-    if (heard.report.zone == zone) addresses.push_back(heard.report.address);
+  for (const auto& [node, received] : zone_senders_) {
+    if (received.report.zone == zone) addresses.push_back(received.report.address);
   }
   const bool tries_more = addresses.empty() && topology_.HasMultipleRegions();
   const auto wanted =
@@ -225,16 +228,16 @@
 void FleetExchange::SendRegionDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
                                      const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages) {
   if (!topology_.HasMultipleRegions() || now < next_region_digest_ || !IsRegionRepresentative(own_zone)) return;
-  // Calls come an interval apart, more or less: none is to be missed by a little.
+  // Ticks are not exactly one interval apart; the margin keeps a slightly early tick from skipping a digest.
   next_region_digest_ = now + parameters_.region_interval - parameters_.interval / 2;
   std::set<std::string_view> regions;
   for (const PeerNode& peer : peers) regions.insert(topology_.RegionOf(peer.zone));
   regions.erase(topology_.OwnRegion());
   FleetMessage digest{{}, Sum(ReportScope::kRegion, own, now)};
-  ++region_turn_;
+  ++region_round_robin_;
   for (const std::string_view region : regions) {
     const std::vector<std::string> aggregators = AggregatorsOfRegion(region, peers);
-    if (!aggregators.empty()) digest.addresses.push_back(aggregators[region_turn_ % aggregators.size()]);
+    if (!aggregators.empty()) digest.addresses.push_back(aggregators[region_round_robin_ % aggregators.size()]);
   }
   messages.push_back(std::move(digest));
 }
@@ -248,30 +251,30 @@
   }
   std::set<std::string> zones;
   for (const PeerNode& peer : peers) {
-    if (peer.zone != self_.zone && IsNear(peer.zone)) zones.insert(peer.zone);
+    if (peer.zone != self_.zone && IsLocalZone(peer.zone)) zones.insert(peer.zone);
   }
   for (const std::string& zone : zones) {
     for (std::string& address : AggregatorsOf(zone, peers)) addresses.push_back(std::move(address));
   }
-  for (auto& [node, heard] : to_forward_) {
-    PeerReport& report = heard.report;
+  for (auto& [node, received] : to_forward_) {
+    PeerReport& report = received.report;
     report.scope = ReportScope::kRegionForwarded;
-    report.age += now - heard.at;
-    report.wall_ms = 0;  // The time of day when it came is over.
+    report.age += now - received.at;
+    report.wall_ms = 0;  // The wall-clock time is stale by now.
     messages.push_back({addresses, std::move(report)});
   }
   to_forward_.clear();
 }
 
-// The first of all aggregators of the region that this node knows. Two halves of a region that do not hear each other
-// both speak: that costs bytes, and the fuller digest counts.
+// Whether this node is among the first aggregators of the region that it knows. Two halves of a region that cannot
+// reach each other both send digests: this costs bandwidth, and receivers use the more complete digest.
 bool FleetExchange::IsRegionRepresentative(const std::vector<PeerNode>& own_zone) const {
   std::vector<PeerNode> others;
   for (const PeerNode& aggregator : own_zone) {
     if (aggregator.node != self_.node) others.push_back(aggregator);
   }
-  for (const auto& [node, heard] : zone_senders_) {
-    const PeerReport& report = heard.report;
+  for (const auto& [node, received] : zone_senders_) {
+    const PeerReport& report = received.report;
     others.push_back({node, report.address, report.zone, report.link_mbps, false});
   }
   const std::vector<RankedNode> region_representatives =
@@ -280,12 +283,12 @@
                      [&](const RankedNode& speaker) { return speaker.node == &self_; });
 }
 
-// Those that speak for it, and the first in its ranking while fewer are heard.
+// The region's known representatives, plus the first of its ranking while there are too few.
 std::vector<std::string> FleetExchange::AggregatorsOfRegion(std::string_view region,
                                                             const std::vector<PeerNode>& peers) const {
   std::vector<std::string> addresses;
-  for (const auto& [node, heard] : region_senders_) {
-    if (topology_.RegionOf(heard.report.zone) == region) addresses.push_back(heard.report.address);
+  for (const auto& [node, received] : region_senders_) {
+    if (topology_.RegionOf(received.report.zone) == region) addresses.push_back(received.report.address);
   }
   std::vector<RankedNode> ranked = RankNodes(self_, peers);
   std::erase_if(ranked, [&](const RankedNode& candidate) {
@@ -303,12 +306,12 @@
 PeerReport FleetExchange::Sum(ReportScope scope, const PeerReport& own, Time now) {
   ReportSum sum;
   sum.Add(own, 0s);
-  for (const auto& [node, heard] : nodes_) sum.Add(heard.report, now - heard.at);
+  for (const auto& [node, received] : nodes_) sum.Add(received.report, now - received.at);
   if (scope != ReportScope::kZone) {
-    for (const auto& [zone, heard] : zones_) sum.Add(heard.report, now - heard.at);
+    for (const auto& [zone, received] : zones_) sum.Add(received.report, now - received.at);
   }
   if (scope == ReportScope::kFleet) {
-    for (const auto& [region, heard] : regions_) sum.Add(heard.report, now - heard.at);
+    for (const auto& [region, received] : regions_) sum.Add(received.report, now - received.at);
   }
   PeerReport report;
   report.scope = scope;
@@ -320,40 +323,40 @@
   report.wall_ms = own.wall_ms;
   report.sequence = ++sequence_;
   sum.MoveTo(report);
-  report.crashes = own.crashes;  // What others told has been merged into them.
-  for (const auto& [kept, passed] : news_) {
-    if (now - passed.first < parameters_.cache_update_forward_time) report.kept.push_back(kept);
+  report.crashes = own.crashes;  // Crash marks reported by others are already merged into `own`.
+  for (const auto& [kept, forwarded] : cache_updates_) {
+    if (now - forwarded.first < parameters_.cache_update_forward_time) report.kept.push_back(kept);
   }
   report.peers = NextMentionedPeers(scope);
   return report;
 }
 
-// Some of the nodes that are heard here or through others' aggregators, others each time; other regions are told of the
-// own one only.
+// A round-robin selection of the nodes that this node or other aggregators have received reports from. Other regions
+// are sent only the nodes of this region.
 std::vector<PeerNode> FleetExchange::NextMentionedPeers(ReportScope scope) {
   std::vector<PeerNode> members;
-  for (const auto& [node, heard] : nodes_) {
-    const PeerReport& report = heard.report;
+  for (const auto& [node, received] : nodes_) {
+    const PeerReport& report = received.report;
     if (!report.stopping) members.push_back({node, report.address, report.zone, report.link_mbps, false});
   }
-  const auto add_senders = [&](const std::map<std::string, Heard>& senders) {
-    for (const auto& [node, heard] : senders) {
-      const PeerReport& report = heard.report;
+  const auto add_senders = [&](const std::map<std::string, Received>& senders) {
+    for (const auto& [node, received] : senders) {
+      const PeerReport& report = received.report;
       members.insert(members.end(), report.peers.begin(), report.peers.end());
       members.push_back({node, report.address, report.zone, report.link_mbps, false});
     }
   };
   add_senders(zone_senders_);
   if (scope == ReportScope::kRegion)
-    return TakeRoundRobin(std::move(members), parameters_.mentioned_across_regions, next_member_);
+    return TakeRoundRobin(std::move(members), parameters_.mentioned_across_regions, next_mentioned_peer_);
   add_senders(region_senders_);
-  return TakeRoundRobin(std::move(members), parameters_.mentioned_nodes, next_member_);
+  return TakeRoundRobin(std::move(members), parameters_.mentioned_nodes, next_mentioned_peer_);
 }
 
-// This node's own part was told up to two intervals ago; what is under way there now it knows itself.
+// Subtracts this node's own contribution, which is up to two intervals old; the node knows its current work itself.
 void FleetExchange::UpdateView(const PeerReport& digest, Time now) {
   view_ = digest;
-  view_heard_ = now;
+  view_received_at_ = now;
   for (EngineWork& work : view_.work) {
     const auto own = own_reported_work_.find(work.engine);
     if (own == own_reported_work_.end()) continue;
@@ -363,8 +366,8 @@
     work.failures = std::max(0, work.failures - own->second.failures);
   }
   for (ServiceDemand& demand : view_.demand) {
-    const auto own = std::find_if(own_demand_.begin(), own_demand_.end(), [&](const ServiceDemand& told) {
-      return told.service == demand.service && told.region == demand.region;
+    const auto own = std::find_if(own_demand_.begin(), own_demand_.end(), [&](const ServiceDemand& reported) {
+      return reported.service == demand.service && reported.region == demand.region;
     });
     if (own == own_demand_.end()) continue;
     demand.prefill_engines = std::max(0.0, demand.prefill_engines - own->prefill_engines);
@@ -374,7 +377,7 @@
 }
 
 const PeerReport* FleetExchange::View(Time now) const {
-  return view_heard_ != Time{} && now - view_heard_ < parameters_.memory ? &view_ : nullptr;
+  return view_received_at_ != Time{} && now - view_received_at_ < parameters_.report_expiry ? &view_ : nullptr;
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/node_ranking.cc
+++ b/src/core/serving/node_ranking.cc
@@ -41,18 +41,19 @@
 }
 
 std::vector<RankedNode> PickAcrossZones(std::span<const RankedNode> ranked, std::size_t count) {
-  struct Placed {
-    std::size_t place = 0;  // In its zone.
+  struct Positioned {
+    std::size_t position_in_zone = 0;  // Position within its zone.
     RankedNode node;
   };
   std::map<std::string_view, std::size_t> in_zone;
-  std::vector<Placed> placed;
-  placed.reserve(ranked.size());
-  for (const RankedNode& node : ranked) placed.push_back({in_zone[node.node->zone]++, node});
-  std::stable_sort(placed.begin(), placed.end(),
-                   [](const Placed& first, const Placed& second) { return first.place < second.place; });
+  std::vector<Positioned> positioned;
+  positioned.reserve(ranked.size());
+  for (const RankedNode& node : ranked) positioned.push_back({in_zone[node.node->zone]++, node});
+  std::stable_sort(positioned.begin(), positioned.end(), [](const Positioned& first, const Positioned& second) {
+    return first.position_in_zone < second.position_in_zone;
+  });
   std::vector<RankedNode> chosen;
-  for (const Placed& candidate : placed) {
+  for (const Positioned& candidate : positioned) {
     if (chosen.size() < count) chosen.push_back(candidate.node);
   }
   return chosen;
--- a/src/core/serving/node_ranking.h
+++ b/src/core/serving/node_ranking.h
@@ -1,5 +1,5 @@
-// Which nodes of a zone do what serves the others. Every node computes the same
-// order from what it hears; nodes with wide links come first.
+// Ranks nodes for tasks that serve other nodes, such as aggregating reports. Every node computes the same order from
+// the reports that it receives; nodes with high link bandwidth come first.
 #pragma once
 
 #include <span>
@@ -12,20 +12,21 @@
 
 struct RankedNode {
   const PeerNode* node = nullptr;
-  std::uint64_t hash = 0;  // Of its name.
+  std::uint64_t hash = 0;  // Hash of its name.
 
-  // Whether it goes before `other` where both are as good in all else.
+  // Tie-breaker between nodes that are equal otherwise: whether this node ranks before `other`, by link bandwidth, then
+  // by hash.
   bool Before(const RankedNode& other) const;
 };
 
-// All nodes that do not stop, best first, `self` among them; see RankZone for the pointers.
+// All nodes that are not stopping, best first, including `self`; see RankZone for the pointers.
 std::vector<RankedNode> RankNodes(const PeerNode& self, std::span<const PeerNode> peers);
 
-// The nodes of that zone that do not stop, best first; `self` is one of them where it is its zone. The
-// pointers are into `self` and `peers`.
+// The nodes of the zone that are not stopping, best first, including `self` if it is in the zone. The pointers point
+// into `self` and `peers`.
 std::vector<RankedNode> RankZone(const PeerNode& self, std::span<const PeerNode> peers, std::string_view zone);
 
-// The first `count` of nodes that are ranked best first, in as many different zones as there are.
+// The first `count` nodes of a ranking, from as many different zones as possible.
 std::vector<RankedNode> PickAcrossZones(std::span<const RankedNode> ranked, std::size_t count);
 
 }  // namespace saltquay::serving
--- a/src/core/serving/peer_table.cc
+++ b/src/core/serving/peer_table.cc
@@ -7,10 +7,11 @@
 namespace saltquay::serving {
 namespace {
 
-constexpr Duration kForgetAfter = 3s;
-// A node reports to a bounded number of peers in a round: each more peer delays the next report to one.
-constexpr Duration kForgetAfterPerPeer = 60ms;
-constexpr Duration kNamedFor = 6s;
+constexpr Duration kReportExpiry = 3s;
+// A node reports to a bounded number of peers per round, so each additional peer delays the next report to a given
+// peer.
+constexpr Duration kReportExpiryPerPeer = 60ms;
+constexpr Duration kMentionExpiry = 6s;
 
 }  // namespace
 
@@ -36,31 +37,31 @@
 bool PeerTable::Note(const PeerReport& report, Time now) {
   if (report.node == own_node_ || report.node.empty()) return false;
   Entry& entry = peers_[report.node];
-  const bool known = entry.heard != Time{};
+  const bool known = entry.received_at != Time{};
   const bool newer =
       report.boot > entry.report.boot || (report.boot == entry.report.boot && report.sequence > entry.report.sequence);
   if (known && !newer) return false;
   entry.report = report;
-  entry.heard = now;
+  entry.received_at = now;
   RecordMentionedPeers(report, now);
   return true;
 }
 
 void PeerTable::RecordMentionedPeers(const PeerReport& report, Time now) {
   for (const PeerNode& peer : report.peers) {
-    if (peer.node != own_node_) named_[peer.node] = {peer, now};
+    if (peer.node != own_node_) mentioned_[peer.node] = {peer, now};
   }
 }
 
 void PeerTable::Expire(Time now) {
-  const Duration forget_after = kForgetAfter + kForgetAfterPerPeer * static_cast<int>(peers_.size());
-  std::erase_if(peers_, [&](const auto& entry) { return now - entry.second.heard > forget_after; });
-  std::erase_if(named_, [&](const auto& entry) { return now - entry.second.heard > kNamedFor; });
+  const Duration expiry = kReportExpiry + kReportExpiryPerPeer * static_cast<int>(peers_.size());
+  std::erase_if(peers_, [&](const auto& entry) { return now - entry.second.received_at > expiry; });
+  std::erase_if(mentioned_, [&](const auto& entry) { return now - entry.second.received_at > kMentionExpiry; });
 }
 
 std::vector<PeerNode> PeerTable::Heard() const {
   std::vector<PeerNode> nodes;
-  nodes.reserve(peers_.size() + named_.size());
+  nodes.reserve(peers_.size() + mentioned_.size());
   for (const auto& [node, entry] : peers_) {
     const PeerReport& report = entry.report;
     nodes.push_back({node, report.address, report.zone, report.link_mbps, report.stopping});
@@ -70,8 +71,8 @@
 
 std::vector<PeerNode> PeerTable::Nodes() const {
   std::vector<PeerNode> nodes = Heard();
-  for (const auto& [node, named] : named_) {
-    if (!peers_.contains(node)) nodes.push_back(named.node);
+  for (const auto& [node, mentioned] : mentioned_) {
+    if (!peers_.contains(node)) nodes.push_back(mentioned.node);
   }
   return nodes;
 }
@@ -80,26 +81,27 @@
   std::vector<PeerNode> nodes;
   for (const auto& [node, entry] : peers_) {
     const PeerReport& report = entry.report;
-    const auto named = named_.find(node);
-    const Time last = named == named_.end() ? entry.heard : std::max(entry.heard, named->second.heard);
+    const auto mentioned = mentioned_.find(node);
+    const Time last =
+        mentioned == mentioned_.end() ? entry.received_at : std::max(entry.received_at, mentioned->second.received_at);
     if (now - last > age || report.stopping) continue;
     nodes.push_back({node, report.address, report.zone, report.link_mbps, false});
   }
-  for (const auto& [node, named] : named_) {
-    const bool recent = now - named.heard <= age && !named.node.stopping;
-    if (recent && !peers_.contains(node)) nodes.push_back(named.node);
+  for (const auto& [node, mentioned] : mentioned_) {
+    const bool recent = now - mentioned.received_at <= age && !mentioned.node.stopping;
+    if (recent && !peers_.contains(node)) nodes.push_back(mentioned.node);
   }
   return nodes;
 }
 
 int PeerTable::CountHeard(Time now, Duration age) const {
-  const auto heard =
-      std::count_if(peers_.begin(), peers_.end(), [&](const auto& entry) { return now - entry.second.heard <= age; });
-  return static_cast<int>(heard) + 1;
+  const auto received = std::count_if(peers_.begin(), peers_.end(),
+                                      [&](const auto& entry) { return now - entry.second.received_at <= age; });
+  return static_cast<int>(received) + 1;
 }
 
-std::vector<PeerNode> PeerTable::NextPeersToMention(std::size_t most) {
-  return TakeRoundRobin(Nodes(), most, next_node_);
+std::vector<PeerNode> PeerTable::NextPeersToMention(std::size_t max_count) {
+  return TakeRoundRobin(Nodes(), max_count, next_node_);
 }
 
 std::vector<RecordMark> PeerTable::LastChanges() const {
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -1,13 +1,11 @@
-// What other nodes report: their work at each engine, the demand they see, and
-// engines that are to be left alone because a role change is coming.
+// State reported by other nodes: their work on each engine, their clients' demand, and engines held for an upcoming
+// stage change.
 //
-// Protocol. Each node sends its report to its peers several times a second
-// over datagrams; a report replaces the sender's earlier one (higher boot time
-// or sequence). Reports name the peers that the sender knows, so that nodes
-// find each other from a few seeds. A node that is silent for some rounds is
-// forgotten; in a large fleet a round reaches each peer more seldom, and what nodes
-// know of engines goes through digests (fleet_exchange.h). Nothing here is needed
-// for safety: it only makes choices better.
+// Protocol. Each node sends its report to its peers several times a second over datagrams. A report replaces the
+// sender's earlier one if it has a higher boot time or sequence. Reports mention peers that the sender knows, so that
+// nodes find each other from a few seeds. A node that has sent nothing for several rounds is forgotten. In a large
+// fleet a round reaches each peer less often, and knowledge of engines is spread in digests (fleet_exchange.h).
+// Correctness does not depend on this data: it only improves choices.
 #pragma once
 
 #include <cstdint>
@@ -22,53 +20,53 @@
 
 namespace saltquay::serving {
 
-// What one node, or several together, have under way at one engine, and what came of it lately.
+// Work in flight of one or more nodes on one engine, and its recent outcomes.
 struct EngineWork {
   EngineKey engine;
   int outstanding = 0;
   std::int64_t prompt_tokens = 0;
-  int answers = 0;   // Within the last second or two, of the engine's own making.
-  int failures = 0;  // The same: silence, broken answers, errors.
+  int answers = 0;   // Within the last one to two seconds, from the engine itself.
+  int failures = 0;  // In the same time: no response, aborted responses, errors.
 
   void Add(const EngineWork& other);
 };
 
-// What one node's callers ask of a language service, in engines kept busy.
+// Demand of one node's clients on a language service, in engines kept busy.
 struct ServiceDemand {
   std::string service;
   double prefill_engines = 0;
   double decode_engines = 0;
-  double reading_depth = 0;  // Prompts that a node would have under way at each engine that reads; 0: not told.
-  int depth_nodes = 1;       // How many nodes' depths this is the mean of.
-  std::string region{};      // Of these nodes; empty where the fleet lies in one.
-  // Engines that the reading would keep busy at the pace of one that does nothing else: what has to be paid for.
-  // `prefill_engines` counts ways and waits too, and tells how the stages compare. 0: not told.
+  double reading_depth = 0;  // Prompts that a node would have in flight per prefill engine; 0: not reported.
+  int depth_nodes = 1;       // Number of nodes that the mean depth covers.
+  std::string region{};      // Region of these nodes; empty if the fleet has only one.
+  // Engines that prefill would keep busy at the speed of an engine with no other work: the capacity to pay for.
+  // `prefill_engines` also includes network latency and waiting, and is used to compare the stages. 0: not reported.
   double reading_engines = 0;
 
-  // The sums of both; of the depths, the mean.
+  // Adds the demands; the depth becomes the weighted mean.
   void Add(const ServiceDemand& other);
 };
 
-// An engine that gets no new work because its stage is about to change.
+// An engine that receives no new requests because its stage is about to change.
 struct EngineHold {
   std::string engine_id;
   Duration left = 0s;
 };
 
-// How far a node's knowledge of one kind of the store's objects goes.
+// How recent a node's copy of one kind of stored objects is.
 struct RecordMark {
   std::string kind;
-  std::int64_t changed_at = 0;  // Revision of the last change that it knows.
+  std::int64_t changed_at = 0;  // Revision of the last change that the node has received.
 };
 
-// The newest revision of the duties' lease that a node knows; revision 0: none.
+// The newest revision of the duty lease known to a node; revision 0: none.
 struct LeaseMark {
-  std::string holder;  // Empty: it was given up.
+  std::string holder;  // Empty after the holder resigned.
   std::string address;
   std::int64_t revision = 0;
 };
 
-// Requests of one tenant that began to run in one window of the usage reports.
+// Requests of one tenant that started to run in one window of the usage reports.
 struct UsageCount {
   std::int64_t window = 0;
   std::string tenant;
@@ -77,96 +75,96 @@
   bool operator==(const UsageCount&) const = default;
 };
 
-// What a node says of itself, or others of it.
+// Description of a node, by itself or by others.
 struct PeerNode {
   std::string node;
   std::string address;
   std::string zone;
-  int link_mbps = 0;  // 0: not known.
+  int link_mbps = 0;  // 0: unknown.
   bool stopping = false;
 };
 
-// Whose work a report tells of; kRegionForwarded: of another region, told on within this one; kUsage: of a node's
-// requests by tenant only, for who holds the duties; kLimits: only what nodes tell each other of tenants' limits.
+// Whose work a report covers. kRegionForwarded: another region's, forwarded within this region; kUsage: only a node's
+// requests by tenant, for the holder of the duty lease; kLimits: only the nodes' messages about tenant limits.
 enum class ReportScope : std::uint8_t { kNode, kZone, kFleet, kUsage, kLimits, kRegion, kRegionForwarded };
 
 struct PeerReport {
   ReportScope scope = ReportScope::kNode;
-  bool aggregate = false;  // Of a node: the receiver is asked to aggregate for it.
-  int nodes = 1;           // Whose sums these are.
-  Duration age = 0s;       // Of the oldest part, when it was sent.
-  std::string node;        // The sender.
+  bool aggregate = false;  // For kNode: the receiver is asked to aggregate this report.
+  int nodes = 1;           // Number of nodes that the sums cover.
+  Duration age = 0s;       // Mean age of its parts when it was sent.
+  std::string node;        // Sending node.
   std::string address;
   std::string zone;
   int link_mbps = 0;
-  std::uint64_t boot = 0;  // Rises with each start of the process.
+  std::uint64_t boot = 0;  // Increases with each start of the process.
   std::uint64_t sequence = 0;
   bool stopping = false;
   std::vector<EngineWork> work;
   std::vector<ServiceDemand> demand;
   std::vector<EngineHold> holds;
-  std::vector<KeptPart> kept;   // News since some rounds.
-  std::vector<PeerNode> peers;  // Some that the sender knows.
+  std::vector<KeptPart> kept;   // Cache updates of the last rounds.
+  std::vector<PeerNode> peers;  // Some of the peers that the sender knows.
   std::vector<RecordMark> records;
   LeaseMark lease;
-  std::int64_t wall_ms = 0;                  // The time of day as the sender believes it, since 1970; 0: not told.
-  std::int64_t closed_through = 0;           // Of kUsage: the last window whose counts change no more.
-  std::vector<CrashMark> crashes;            // Some that the sender knows, whoever saw them.
-  std::vector<UsageCount> usage;             // Of kUsage: counts of `node` in its life `boot`; they only grow.
-  std::vector<limits::LimitMessage> limits;  // Of kLimits.
+  std::int64_t wall_ms = 0;         // The sender's wall-clock time in milliseconds since 1970; 0: not reported.
+  std::int64_t closed_through = 0;  // For kUsage: the last window whose counts are final.
+  std::vector<CrashMark> crashes;   // Some of the crash marks that the sender knows, from any node.
+  std::vector<UsageCount> usage;    // For kUsage: counts of `node` since its start `boot`; they only increase.
+  std::vector<limits::LimitMessage> limits;  // For kLimits.
 };
 
 class PeerTable {
  public:
   explicit PeerTable(std::string own_node) : own_node_(std::move(own_node)) {}
 
-  // Returns whether the report is newer than what was known.
+  // Returns whether the report is newer than the known one.
   bool Note(const PeerReport& report, Time now);
   void Expire(Time now);
 
-  // Takes over whom others name; for reports of a zone or of the fleet.
+  // Adds the peers that a report mentions; for digests of a zone or of the fleet.
   void RecordMentionedPeers(const PeerReport& report, Time now);
 
-  // Nodes that this one hears itself, this one included.
+  // Number of nodes that this node receives reports from, including itself.
   int Count() const { return static_cast<int>(peers_.size()) + 1; }
-  // The same, as they described themselves, without this one.
+  // The same nodes without this one, as described by themselves.
   std::vector<PeerNode> Heard() const;
-  // Nodes heard, and those that others named lately.
+  // Nodes that reports are received from, and nodes recently mentioned by others.
   std::vector<PeerNode> Nodes() const;
-  // Those that were heard or named within the last `age`, and do not stop.
+  // Nodes heard from or mentioned within the last `age` that are not stopping.
   std::vector<PeerNode> RecentNodes(Time now, Duration age) const;
-  // Nodes that this one heard itself within the last `age`, this one included.
+  // Number of nodes heard from within the last `age`, including this one.
   int CountHeard(Time now, Duration age) const;
-  // At most `most` of them, others each time: what one report names.
-  std::vector<PeerNode> NextPeersToMention(std::size_t most);
-  // The newest mark of the duties' lease that any node heard knows.
+  // The next `max_count` nodes or fewer, round-robin, to mention in a report.
+  std::vector<PeerNode> NextPeersToMention(std::size_t max_count);
+  // The newest mark of the duty lease in any peer's report.
   LeaseMark NewestLease() const;
-  // Of each kind of the store's objects, the last change that any node heard knows.
+  // For each kind of stored objects, the last change that any peer reports.
   std::vector<RecordMark> LastChanges() const;
   // Work of all other nodes by engine.
   std::map<EngineKey, EngineWork> WorkByEngine() const;
-  // Engines that other nodes hold back.
+  // Engines held by other nodes.
   std::vector<EngineHold> Holds() const;
-  // What all other nodes told of their demand.
+  // Demand reported by all other nodes.
   std::vector<ServiceDemand> Demands() const;
-  // Demand of all other nodes, and the mean of the reading depths that they told.
+  // Total demand of all other nodes, with the mean of their reported reading depths.
   ServiceDemand Demand(const std::string& service) const;
-  // Returns whether this node's name is before those of all `nodes` that do not stop.
+  // Whether this node's name sorts before those of all `nodes` that are not stopping.
   bool HasLowestName(const std::vector<PeerNode>& nodes) const;
 
  private:
   struct Entry {
     PeerReport report;
-    Time heard{};
+    Time received_at{};
   };
   std::string own_node_;
   std::map<std::string, Entry> peers_;
-  struct Named {
+  struct Mentioned {
     PeerNode node;
-    Time heard{};
+    Time received_at{};
   };
-  std::size_t next_node_ = 0;           // Where NextPeersToMention goes on.
-  std::map<std::string, Named> named_;  // By others.
+  std::size_t next_node_ = 0;                   // Position for the next call of NextPeersToMention.
+  std::map<std::string, Mentioned> mentioned_;  // Mentioned by others.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/prompt_cache_index.h
+++ b/src/core/serving/prompt_cache_index.h
@@ -1,4 +1,4 @@
-// Which engines keep which prompt parts, as far as is known from this node's readings and the peers' news.
+// Tracks which engines cache which prompt parts, from this node's prefills and the peers' cache updates.
 #pragma once
 
 #include <cstdint>
@@ -15,33 +15,34 @@
 
 class PromptCacheIndex {
  public:
-  // A part is kept for about `memory` after its last use.
-  explicit PromptCacheIndex(Duration memory) : memory_(memory) {}
+  // `lifetime`: how long an engine is assumed to cache a part after its last use.
+  explicit PromptCacheIndex(Duration lifetime) : lifetime_(lifetime) {}
 
-  // Notes that the engine reads the prompt: its shared parts are there then.
+  // Records that the engine processes the prompt and will cache its shared parts.
   void RecordPrefill(const EngineKey& engine, const PromptMetadata& prompt, Time now);
-  // A peer's news of the same kind.
-  void RecordCachedPart(const KeptPart& kept, Time now);
-  // What this node noted by itself since `since`, for the peers.
+  // The same from a peer's report.
+  void RecordCachedPart(const KeptPart& cached, Time now);
+  // Cache updates recorded by this node since `since`, for reports to peers.
   std::vector<KeptPart> CacheUpdatesSince(Time since);
-  // Tokens that the engine would read of the prompt.
+  // Number of the prompt's tokens that the engine has to process.
   int TokensToPrefill(const EngineKey& engine, const PromptMetadata& prompt, Time now) const;
-  // Engines that were the last to be known to keep the longest of the prompt's beginnings that any keeps; some only
-  // where there are many.
+  // Engines most recently known to cache the longest cached prefix of the prompt. The list is incomplete if there are
+  // many.
   const std::vector<EngineKey>& EnginesCaching(const PromptMetadata& prompt) const;
 
  private:
-  bool Keeps(const EngineKey& engine, const PromptPart& part, Time now) const;
-  // Makes room where too many parts are known: the unused go.
-  void Forget(Time now);
-
-  Duration memory_;
-  std::unordered_map<KeptPart, Time, KeptPartHash> kept_;              // -> last use known.
-  std::unordered_map<std::uint64_t, std::vector<EngineKey>> keepers_;  // By part; the last that were noted.
-  std::deque<std::pair<Time, KeptPart>> news_;
+  bool IsCached(const EngineKey& engine, const PromptPart& part, Time now) const;
+  // Drops expired entries when there are too many.
+  void EvictExpired(Time now);
+
+  Duration lifetime_;
+  std::unordered_map<KeptPart, Time, KeptPartHash> last_used_;  // Time of the last known use.
+  // By part; the most recently recorded engines.
+  std::unordered_map<std::uint64_t, std::vector<EngineKey>> engines_by_part_;
+  std::deque<std::pair<Time, KeptPart>> updates_;
 };
 
-// Prompt tokens in parts that other requests share, and those of the request itself.
+// Prompt tokens in parts shared with other requests, and tokens of the request's own part.
 int SharedTokens(const PromptMetadata& prompt);
 int UnsharedTokens(const PromptMetadata& prompt);
 
--- a/src/core/serving/role_controller.cc
+++ b/src/core/serving/role_controller.cc
@@ -12,7 +12,7 @@
   return stage == EngineStage::kDecode ? "decode" : "uniform";
 }
 
-// An order as the ledger of ends names it.
+// Identifies orders to a service's stage in the crash ledger.
 std::uint64_t OrderKey(const std::string& service, EngineStage stage) {
   return HashPair(HashText(service), static_cast<std::uint64_t>(stage) + 1);
 }
@@ -33,10 +33,10 @@
 
 void RoleController::OnTick(Time now, bool candidate, const ServingConfig& config, const DemandSum& demand,
                             EngineDirectory& engines, std::vector<RoleAction>& actions) {
-  // A record that shows the new stage ends the wait for it.
-  for (auto entry = away_.begin(); entry != away_.end();) {
-    const bool is_over = IsChangeOver(entry->first, entry->second, engines, now, actions);
-    entry = is_over ? away_.erase(entry) : std::next(entry);
+  // The change is over when the engine's record shows the new stage.
+  for (auto entry = ordered_changes_.begin(); entry != ordered_changes_.end();) {
+    const bool is_over = CheckChangeProgress(entry->first, entry->second, engines, now, actions);
+    entry = is_over ? ordered_changes_.erase(entry) : std::next(entry);
   }
   std::vector<std::string> held;
   for (const auto& [engine_id, change] : changes_) {
@@ -48,38 +48,38 @@
   Plan(now, config, demand, engines, actions);
 }
 
-bool RoleController::IsChangeOver(const std::string& engine_id, Away& away, const EngineDirectory& engines, Time now,
-                                  std::vector<RoleAction>& actions) {
+bool RoleController::CheckChangeProgress(const std::string& engine_id, OrderedChange& ordered,
+                                         const EngineDirectory& engines, Time now, std::vector<RoleAction>& actions) {
   const auto known = engines.all().find(engine_id);
   const bool is_gone = known == engines.all().end() || known->second.gone;
-  if (is_gone && !away.leaves) {
-    const std::uint64_t order = OrderKey(away.service, away.stage);
+  if (is_gone && !ordered.was_leaving) {
+    const std::uint64_t order = OrderKey(ordered.service, ordered.stage);
     order_crashes_.RecordCrash(order, engine_id, now, now);
     actions.push_back(LogRole{EventId::kEngineEnded,
                               fmt::format(R"("engine":"{}","ordered_to":"{}","ends_under_the_order":{},"paused":{})",
-                                          engine_id, StageName(away.stage), order_crashes_.Ends(order),
+                                          engine_id, StageName(ordered.stage), order_crashes_.Ends(order),
                                           order_crashes_.QuarantineRemaining(order, now).has_value())});
   }
   if (is_gone) return true;
-  away.leaves = away.leaves || known->second.record.leaving;
+  ordered.was_leaving = ordered.was_leaving || known->second.record.leaving;
   if (known->second.changing_until == Time{}) {
-    order_crashes_.NoteServed(OrderKey(away.service, away.stage), now);
+    order_crashes_.NoteServed(OrderKey(ordered.service, ordered.stage), now);
     return true;
   }
-  return now >= away.until;
+  return now >= ordered.until;
 }
 
 void RoleController::Plan(Time now, const ServingConfig& config, const DemandSum& demand, EngineDirectory& engines,
                           std::vector<RoleAction>& actions) {
   for (const Service& service : config.services) {
     if (!service.language) continue;
-    const std::vector<RolePool> groups = PoolsOf(service, engines);
-    // What is kept of a stage is kept by all regions together: one that lacks it borrows from the others.
+    const std::vector<RolePool> pools = PoolsOf(service, engines);
+    // The minimum number of engines per stage is shared by all regions: a region that lacks a stage uses the others'.
     RolePlannerParameters planner = parameters_.planner;
-    const auto regions = static_cast<int>(groups.size());
-    planner.keep = (planner.keep + regions - 1) / regions;
-    for (const RolePool& group : groups) {
-      PlanRolePool(now, service, group, planner, demand.Of(service.name, group.region), engines, actions);
+    const auto regions = static_cast<int>(pools.size());
+    planner.min_per_stage = (planner.min_per_stage + regions - 1) / regions;
+    for (const RolePool& pool : pools) {
+      PlanRolePool(now, service, pool, planner, demand.Of(service.name, pool.region), engines, actions);
     }
   }
 }
@@ -90,116 +90,117 @@
   std::map<std::string, int> in_region;
   engines.ForEachServing(
       service.name, [&](EngineState& engine) { ++in_region[std::string(topology_.RegionOf(engine.record.zone))]; });
-  std::vector<RolePool> groups;
+  std::vector<RolePool> pools;
   for (const auto& [region, count] : in_region) {
     if (count < parameters_.min_engines_per_region) return {whole};
-    groups.push_back({service.name, region});
+    pools.push_back({service.name, region});
   }
-  return groups.size() > 1 ? groups : std::vector<RolePool>{whole};
+  return pools.size() > 1 ? pools : std::vector<RolePool>{whole};
 }
 
-void RoleController::PlanRolePool(Time now, const Service& service, const RolePool& group,
-                                  const RolePlannerParameters& planner, const ServiceDemand& asked,
+void RoleController::PlanRolePool(Time now, const Service& service, const RolePool& pool,
+                                  const RolePlannerParameters& planner, const ServiceDemand& pool_demand,
                                   EngineDirectory& engines, std::vector<RoleAction>& actions) {
-  StageCounts counts = CountStages(now, engines, group);
-  counts.places = service.language ? service.language->slots : 0;
-  const bool idle = planner.IsIdle(asked);
-  accepted_cooldown_[group] = idle ? parameters_.idle_cooldown : parameters_.cooldown;
-  LogPlan(now, group, asked, counts, actions);
+  StageCounts counts = CountStages(now, engines, pool);
+  counts.slots_per_engine = service.language ? service.language->slots : 0;
+  const bool idle = planner.IsIdle(pool_demand);
+  accepted_cooldown_[pool] = idle ? parameters_.idle_cooldown : parameters_.cooldown;
+  LogPlan(now, pool, pool_demand, counts, actions);
   const bool empty_stage = (counts.prefill == 0) != (counts.decode == 0);
-  const std::optional<StageChangePlan> plan = PlanStageChange(planner, asked, counts);
-  if (idle) pending_plans_.erase(group);
-  const bool persists = idle || HasPersisted(now, service, group, plan, counts);
-  if (!empty_stage && now < cooldown_until_[group]) return;
+  const std::optional<StageChangePlan> plan = PlanStageChange(planner, pool_demand, counts);
+  if (idle) pending_plans_.erase(pool);
+  const bool persists = idle || HasPersisted(now, service, pool, plan, counts);
+  if (!empty_stage && now < cooldown_until_[pool]) return;
   if (plan && order_crashes_.QuarantineRemaining(OrderKey(service.name, plan->stage), now)) return;
-  if (!plan || PickEngine(engines, group, OtherStage(plan->stage), now) == nullptr) return;
+  if (!plan || PickEngine(engines, pool, OtherStage(plan->stage), now) == nullptr) return;
   if (!lease_.IsHeldFor(now, parameters_.order_time)) return lease_.Want(now);
-  if (persists) BeginChanges(now, service, group, *plan, engines, actions);
+  if (persists) BeginChanges(now, service, pool, *plan, engines, actions);
 }
 
-bool RoleController::HasPersisted(Time now, const Service& service, const RolePool& group,
+bool RoleController::HasPersisted(Time now, const Service& service, const RolePool& pool,
                                   const std::optional<StageChangePlan>& plan, const StageCounts& counts) {
   if (!plan) {
-    pending_plans_.erase(group);
+    pending_plans_.erase(pool);
     return false;
   }
-  PendingPlan& wish = pending_plans_[group];
-  if (wish.stage != plan->stage) wish = {plan->stage, now};
-  // Engines that come back would do as well, and sooner than any that are turned now.
-  const int out = plan->stage == EngineStage::kPrefill ? counts.prefill_out : counts.decode_out;
-  const Duration needed = out >= plan->engines ? service.language->role_change : parameters_.persistence;
-  return now - wish.since >= needed;
+  PendingPlan& pending_plan = pending_plans_[pool];
+  if (pending_plan.stage != plan->stage) pending_plan = {plan->stage, now};
+  // Ejected engines that return would fill the gap as well, and sooner than engines changed now.
+  const int ejected = plan->stage == EngineStage::kPrefill ? counts.prefill_ejected : counts.decode_ejected;
+  const Duration needed = ejected >= plan->engines ? service.language->role_change : parameters_.persistence;
+  return now - pending_plan.since >= needed;
 }
 
-StageCounts RoleController::CountStages(Time now, EngineDirectory& engines, const RolePool& group) const {
+StageCounts RoleController::CountStages(Time now, EngineDirectory& engines, const RolePool& pool) const {
   StageCounts counts;
-  engines.ForEachServing(group.service, [&](EngineState& engine) {
-    if (!IsOf(group, engine)) return;
+  engines.ForEachServing(pool.service, [&](EngineState& engine) {
+    if (!IsInPool(pool, engine)) return;
     ++counts.known;
     const auto change = changes_.find(engine.record.id);
-    const auto away = away_.find(engine.record.id);
+    const auto ordered = ordered_changes_.find(engine.record.id);
     const bool changing = now < engine.changing_until;
     if (change != changes_.end() || changing) {
       EngineStage stage = OtherStage(engine.record.stage);
       if (change != changes_.end()) stage = change->second.stage;
-      if (away != away_.end()) stage = away->second.stage;
+      if (ordered != ordered_changes_.end()) stage = ordered->second.stage;
       ++(stage == EngineStage::kPrefill ? counts.to_prefill : counts.to_decode);
       return;
     }
-    // One that is out serves nobody: it must not count as what is kept.
-    const bool out = now < engine.ejected_until;
-    if (engine.record.stage == EngineStage::kPrefill) ++(out ? counts.prefill_out : counts.prefill);
-    if (engine.record.stage == EngineStage::kDecode) ++(out ? counts.decode_out : counts.decode);
+    // An ejected engine serves no requests, so it must not count towards the minimum.
+    const bool ejected = now < engine.ejected_until;
+    if (engine.record.stage == EngineStage::kPrefill) ++(ejected ? counts.prefill_ejected : counts.prefill);
+    if (engine.record.stage == EngineStage::kDecode) ++(ejected ? counts.decode_ejected : counts.decode);
   });
   return counts;
 }
 
-void RoleController::BeginChanges(Time now, const Service& service, const RolePool& group, const StageChangePlan& plan,
+void RoleController::BeginChanges(Time now, const Service& service, const RolePool& pool, const StageChangePlan& plan,
                                   EngineDirectory& engines, std::vector<RoleAction>& actions) {
   for (int i = 0; i < plan.engines; ++i) {
-    const EngineState* engine = PickEngine(engines, group, OtherStage(plan.stage), now);
+    const EngineState* engine = PickEngine(engines, pool, OtherStage(plan.stage), now);
     if (engine == nullptr) break;
     const std::string& id = engine->record.id;
     changes_[id] =
-        Change{Phase::kHolding, group, id, engine->record.address, plan.stage, service.language->role_change, now};
+        Change{Phase::kHolding, pool, id, engine->record.address, plan.stage, service.language->role_change, now};
     actions.push_back(LogRole{EventId::kEngineDraining, fmt::format(R"("engine":"{}","stage":"{}","planned":{})", id,
                                                                     StageName(plan.stage), plan.engines)});
   }
   actions.push_back(AnnounceHolds{});
 }
 
-void RoleController::LogPlan(Time now, const RolePool& group, const ServiceDemand& asked, const StageCounts& counts,
-                             std::vector<RoleAction>& actions) {
-  Time& next = next_plan_log_[group];
+void RoleController::LogPlan(Time now, const RolePool& pool, const ServiceDemand& pool_demand,
+                             const StageCounts& counts, std::vector<RoleAction>& actions) {
+  Time& next = next_plan_log_[pool];
   if (now < next) return;
   next = now + parameters_.plan_log_interval;
-  const double ideal = IdealPrefillEngines(parameters_.planner, asked, counts.prefill + counts.decode, counts.places);
+  const double ideal =
+      IdealPrefillEngines(parameters_.planner, pool_demand, counts.prefill + counts.decode, counts.slots_per_engine);
   actions.push_back(LogRole{
       EventId::kRolePlan,
       fmt::format(
           R"("service":"{}","region":"{}","prefill":{},"decode":{},"prefill_demand":{:.2f},"decode_demand":{:.2f},"ideal":{:.1f},)"
           R"("to_prefill":{},"to_decode":{})",
-          group.service, group.region, counts.prefill, counts.decode, asked.prefill_engines, asked.decode_engines,
-          ideal, counts.to_prefill, counts.to_decode)});
+          pool.service, pool.region, counts.prefill, counts.decode, pool_demand.prefill_engines,
+          pool_demand.decode_engines, ideal, counts.to_prefill, counts.to_decode)});
 }
 
-// The engine with the least work, in a zone that has most engines of the stage.
-const EngineState* RoleController::PickEngine(EngineDirectory& engines, const RolePool& group, EngineStage from,
+// Chooses the engine with the least work, from a zone with the most engines of the stage.
+const EngineState* RoleController::PickEngine(EngineDirectory& engines, const RolePool& pool, EngineStage from,
                                               Time now) {
   const auto fits = [&](const EngineState& engine) {
     const bool busy = changes_.contains(engine.record.id) || now < engine.changing_until;
-    return engine.record.stage == from && !busy && IsOf(group, engine);
+    return engine.record.stage == from && !busy && IsInPool(pool, engine);
   };
   std::map<std::string, int> in_zone;
-  engines.ForEachServing(group.service, [&](EngineState& engine) {
+  engines.ForEachServing(pool.service, [&](EngineState& engine) {
     if (fits(engine)) ++in_zone[engine.record.zone];
   });
   const EngineState* best = nullptr;
   const auto work = [](const EngineState& engine) { return engine.outstanding + engine.peers_outstanding; };
-  engines.ForEachServing(group.service, [&](EngineState& engine) {
-    const auto settled = unanswered_until_.find(engine.record.id);
-    const bool unsettled = settled != unanswered_until_.end() && now < settled->second;
-    if (!fits(engine) || now < engine.ejected_until || unsettled) return;
+  engines.ForEachServing(pool.service, [&](EngineState& engine) {
+    const auto unanswered = unanswered_until_.find(engine.record.id);
+    const bool is_unanswered = unanswered != unanswered_until_.end() && now < unanswered->second;
+    if (!fits(engine) || now < engine.ejected_until || is_unanswered) return;
     if (best == nullptr) {
       best = &engine;
       return;
@@ -219,11 +220,11 @@
     return;
   }
   const int work = engine->outstanding + engine->peers_outstanding;
-  const bool short_queue = work <= parameters_.short_queue && now >= change.began + parameters_.min_hold;
-  if (!short_queue && now < change.began + parameters_.max_hold) return;
+  const bool short_queue = work <= parameters_.short_queue && now >= change.started_at + parameters_.min_hold;
+  if (!short_queue && now < change.started_at + parameters_.max_hold) return;
   if (!lease_.IsHeldFor(now, parameters_.order_time)) {
-    if (now < change.began + parameters_.max_hold * 2) return lease_.Want(now);
-    changes_.erase(engine_id);  // The lease is another node's by now.
+    if (now < change.started_at + parameters_.max_hold * 2) return lease_.Want(now);
+    changes_.erase(engine_id);  // Another node holds the lease by now.
     return;
   }
   change.phase = Phase::kReading;
@@ -235,10 +236,10 @@
                                        std::vector<RoleAction>& actions) {
   Change* change = FindChange(engine_id, Phase::kReading);
   if (change == nullptr) return;
-  // Between the reading and the order the lease may have run out.
-  const bool fit = report && !report->busy && report->stage != change->stage && lease_.IsHeldFor(now);
-  if (!fit) {
-    cooldown_until_[change->group] = now + parameters_.idle_cooldown;
+  // The lease may have expired since the state was requested.
+  const bool can_order = report && !report->busy && report->stage != change->stage && lease_.IsHeldFor(now);
+  if (!can_order) {
+    cooldown_until_[change->pool] = now + parameters_.idle_cooldown;
     changes_.erase(engine_id);
     return;
   }
@@ -253,14 +254,15 @@
                                      EngineDirectory& engines, std::vector<RoleAction>& actions) {
   const Change* change = FindChange(engine_id, Phase::kOrdering);
   if (change == nullptr) return;
-  constexpr Duration kDrainTime = 15s;  // For what runs there; the record tells when it is over.
+  // Time for running requests to finish; the engine's record shows when they have.
+  constexpr Duration kDrainTime = 15s;
   if (outcome == OrderOutcome::kAccepted || outcome == OrderOutcome::kUnknown) {
-    const Time until = now + change->away + kDrainTime;
-    away_[engine_id] = Away{until, change->stage, change->group.service};
+    const Time until = now + change->duration + kDrainTime;
+    ordered_changes_[engine_id] = OrderedChange{until, change->stage, change->pool.service};
     if (EngineState* engine = engines.Find(engine_id)) engine->changing_until = until;
-    cooldown_until_[change->group] = now + accepted_cooldown_[change->group];
+    cooldown_until_[change->pool] = now + accepted_cooldown_[change->pool];
   } else {
-    cooldown_until_[change->group] = now + parameters_.idle_cooldown;
+    cooldown_until_[change->pool] = now + parameters_.idle_cooldown;
   }
   if (outcome == OrderOutcome::kUnknown) unanswered_until_[engine_id] = now + parameters_.unanswered_order_timeout;
   if (outcome == OrderOutcome::kFenced) lease_.OnFenced();
@@ -274,8 +276,8 @@
   constexpr Duration kHoldTime = 1500ms;
   std::vector<EngineHold> holds;
   for (const auto& [engine_id, change] : changes_) holds.push_back({engine_id, kHoldTime});
-  for (const auto& [engine_id, away] : away_) {
-    if (away.until > now) holds.push_back({engine_id, away.until - now});
+  for (const auto& [engine_id, ordered] : ordered_changes_) {
+    if (ordered.until > now) holds.push_back({engine_id, ordered.until - now});
   }
   return holds;
 }
--- a/src/core/serving/role_controller.h
+++ b/src/core/serving/role_controller.h
@@ -1,14 +1,11 @@
-// Decides and orders stage changes of engines; see role_planner.h and
-// duty_lease.h.
+// Plans stage changes of engines and orders them; see role_planner.h and duty_lease.h.
 //
-// Protocol of a change. The candidate (least name among live nodes) takes the
-// lease, announces a hold on the engine so that no node sends it new work,
-// waits until its queue is short or `max_hold` is over, reads its state,
-// and sends one order with the engine's identity, its sequence, and the fencing
-// token. Where the fleet lies in several regions, each has a plan of its own, so that a
-// prompt that is read in one is answered there. Several engines of a large service may be on the way at one time. An
-// order without an answer may be carried out seconds later: the engine gets no other order until
-// `unanswered_order_timeout` is over.
+// Protocol of a change. The candidate (lowest name among live nodes) acquires the lease, announces a hold on the engine
+// so that no node sends it new requests, waits until its queue is short or `max_hold` has passed, reads its state, and
+// sends one order with the engine's identity, its sequence and the fencing token. If the fleet spans several regions,
+// each is planned separately, so that prompts are decoded in the region of their prefill. Several engines of a large
+// service may change at once. An order without a response may still be carried out seconds later, so the engine
+// receives no other order until `unanswered_order_timeout` has passed.
 #pragma once
 
 #include <compare>
@@ -31,27 +28,28 @@
 
 struct RoleControllerParameters {
   RolePlannerParameters planner;
-  Duration startup_delay = 1500ms;  // After a start, before the first plan.
+  Duration startup_delay = 1500ms;  // Delay of the first plan after startup.
   Duration plan_interval = 250ms;
   Duration plan_log_interval = 2s;
-  // Under load a change must be wanted for so long; as long as a change takes, where as many engines as are wanted are
-  // only out: they may be back before.
+  // Under load a change must be planned for this long before it starts. If as many engines as are needed are only
+  // ejected, it must be planned for the duration of a change, because they may return sooner.
   Duration persistence = 600ms;
   Duration cooldown = 4s;          // Between changes of one service under load.
-  Duration idle_cooldown = 300ms;  // The same before any demand is known.
+  Duration idle_cooldown = 300ms;  // The same while there is no demand.
   Duration min_hold = 60ms;
   Duration max_hold = 900ms;
-  Duration order_time = 300ms;  // To read an engine's state and order it.
+  Duration order_time = 300ms;  // Time to read an engine's state and to order its change.
   Duration unanswered_order_timeout = 14s;
-  // Engines in each region from which on each has a plan of its own: with fewer, a region can hardly keep both stages.
+  // Minimum number of engines in every region for planning regions separately. With fewer, a region can hardly keep
+  // both stages.
   int min_engines_per_region = 4;
-  int short_queue = 1;  // Requests at the engine that the order need not wait for.
-  // Three engines in a row that ended on the way to a stage: no more are sent there for so long, then one batch at a
-  // time.
+  int short_queue = 1;  // Requests in flight on the engine that an order need not wait for.
+  // After three consecutive crashes of engines that were ordered to a stage, no engine is sent there for this long,
+  // then one batch at a time.
   CrashLedgerParameters order_crashes{.quarantine = 30s};
 };
 
-// What an engine says of itself.
+// State reported by an engine.
 struct EngineStateReport {
   EngineStage stage = EngineStage::kUniform;
   bool busy = false;
@@ -71,7 +69,7 @@
   std::int64_t fencing_token = 0;
   std::int64_t expected_sequence = 0;
 };
-// Holds changed: tell the peers now.
+// The holds changed and should be reported to the peers now.
 struct AnnounceHolds {};
 struct LogRole {
   EventId event = EventId::kOrderSent;
@@ -81,10 +79,10 @@
 
 class RoleController {
  public:
-  // `lease` and `topology` outlive it; the lease's driver renews it as long as it is wanted.
+  // `lease` and `topology` must outlive the object. The lease's driver renews it as long as it is requested.
   RoleController(const RoleControllerParameters& parameters, DutyLease& lease, const Topology& topology, Time started);
 
-  // `candidate`: this node should plan now. `demand`: of all nodes.
+  // `candidate`: whether this node should plan now. `demand`: of all nodes.
   void OnTick(Time now, bool candidate, const ServingConfig& config, const DemandSum& demand, EngineDirectory& engines,
               std::vector<RoleAction>& actions);
   void OnEngineStateRead(Time now, const std::string& engine_id, const std::optional<EngineStateReport>& report,
@@ -92,7 +90,7 @@
   void OnOrderAnswered(Time now, const std::string& engine_id, OrderOutcome outcome, EngineDirectory& engines,
                        std::vector<RoleAction>& actions);
 
-  // Engines that get no new work: held for an order, or on the way to the other stage.
+  // Engines that receive no new requests: held for an order, or changing stage.
   std::vector<EngineHold> Holds(Time now) const;
 
  private:
@@ -100,47 +98,47 @@
   // Engines that are planned together.
   struct RolePool {
     std::string service;
-    std::string region;  // Empty: of all regions.
+    std::string region;  // Empty: all regions.
 
     auto operator<=>(const RolePool&) const = default;
   };
   struct Change {
     Phase phase = Phase::kHolding;
-    RolePool group;
+    RolePool pool;
     std::string engine_id;
     std::string address;
     EngineStage stage = EngineStage::kUniform;
-    Duration away = 0s;
-    Time began{};
+    Duration duration = 0s;
+    Time started_at{};
   };
   // An engine that was ordered to change.
-  struct Away {
-    Time until{};  // When it should be back at the latest.
+  struct OrderedChange {
+    Time until{};  // Latest time at which it should be back.
     EngineStage stage = EngineStage::kUniform;
     std::string service;
-    bool leaves = false;  // It announced its end.
+    bool was_leaving = false;  // The engine announced that it is leaving.
   };
 
-  // Notes what became of an ordered change so far; returns whether it is over.
-  bool IsChangeOver(const std::string& engine_id, Away& away, const EngineDirectory& engines, Time now,
-                    std::vector<RoleAction>& actions);
+  // Checks the progress of an ordered change; returns whether it is over.
+  bool CheckChangeProgress(const std::string& engine_id, OrderedChange& ordered, const EngineDirectory& engines,
+                           Time now, std::vector<RoleAction>& actions);
   void Plan(Time now, const ServingConfig& config, const DemandSum& demand, EngineDirectory& engines,
             std::vector<RoleAction>& actions);
-  void PlanRolePool(Time now, const Service& service, const RolePool& group, const RolePlannerParameters& planner,
-                    const ServiceDemand& asked, EngineDirectory& engines, std::vector<RoleAction>& actions);
-  // One for each region, or one of all.
+  void PlanRolePool(Time now, const Service& service, const RolePool& pool, const RolePlannerParameters& planner,
+                    const ServiceDemand& pool_demand, EngineDirectory& engines, std::vector<RoleAction>& actions);
+  // One pool per region, or one for all regions.
   std::vector<RolePool> PoolsOf(const Service& service, EngineDirectory& engines) const;
-  bool IsOf(const RolePool& group, const EngineState& engine) const {
-    return group.region.empty() || topology_.RegionOf(engine.record.zone) == group.region;
+  bool IsInPool(const RolePool& pool, const EngineState& engine) const {
+    return pool.region.empty() || topology_.RegionOf(engine.record.zone) == pool.region;
   }
-  StageCounts CountStages(Time now, EngineDirectory& engines, const RolePool& group) const;
-  void BeginChanges(Time now, const Service& service, const RolePool& group, const StageChangePlan& plan,
+  StageCounts CountStages(Time now, EngineDirectory& engines, const RolePool& pool) const;
+  void BeginChanges(Time now, const Service& service, const RolePool& pool, const StageChangePlan& plan,
                     EngineDirectory& engines, std::vector<RoleAction>& actions);
-  const EngineState* PickEngine(EngineDirectory& engines, const RolePool& group, EngineStage from, Time now);
+  const EngineState* PickEngine(EngineDirectory& engines, const RolePool& pool, EngineStage from, Time now);
   void AdvanceHeldChange(Time now, Change& change, EngineDirectory& engines, std::vector<RoleAction>& actions);
-  void LogPlan(Time now, const RolePool& group, const ServiceDemand& asked, const StageCounts& counts,
+  void LogPlan(Time now, const RolePool& pool, const ServiceDemand& pool_demand, const StageCounts& counts,
                std::vector<RoleAction>& actions);
-  // The change that waits for an answer of this engine in that phase; nullptr where there is none.
+  // The engine's change in that phase, waiting for a response; nullptr if there is none.
   Change* FindChange(const std::string& engine_id, Phase phase);
 
   RoleControllerParameters parameters_;
@@ -149,24 +147,24 @@
   Time started_;
   Time next_plan_{};
   std::map<RolePool, Time> next_plan_log_;
-  std::map<std::string, Change> changes_;    // Engine -> the change that is on the way to its order.
-  std::map<RolePool, Time> cooldown_until_;  // When it may change again.
+  std::map<std::string, Change> changes_;    // By engine: the change that has not been ordered yet.
+  std::map<RolePool, Time> cooldown_until_;  // When the pool may change again.
   struct PendingPlan {
     EngineStage stage = EngineStage::kUniform;
     Time since{};
   };
-  // Whether the plan has been the same for long enough to be carried out.
-  bool HasPersisted(Time now, const Service& service, const RolePool& group, const std::optional<StageChangePlan>& plan,
+  // Whether the plan has stayed the same for long enough to be carried out.
+  bool HasPersisted(Time now, const Service& service, const RolePool& pool, const std::optional<StageChangePlan>& plan,
                     const StageCounts& counts);
 
   std::map<RolePool, PendingPlan> pending_plans_;
-  // The pause after an accepted order: changes cost nobody anything while nothing is asked.
+  // Pause after an accepted order. While there is no demand, changes cost nothing.
   std::map<RolePool, Duration> accepted_cooldown_;
-  std::map<std::string, Away> away_;  // By engine.
-  // Orders to a service's stage under which engines ended: an order that ends who carries it out is not given to one
+  std::map<std::string, OrderedChange> ordered_changes_;  // By engine.
+  // Orders to a service's stage during which engines crashed. An order that crashes engines must not be given to one
   // engine after the other.
   CrashLedger order_crashes_;
-  std::map<std::string, Time> unanswered_until_;  // Engine -> when an unanswered order is surely over.
+  std::map<std::string, Time> unanswered_until_;  // By engine: when an unanswered order can no longer take effect.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/role_planner.cc
+++ b/src/core/serving/role_planner.cc
@@ -5,18 +5,19 @@
 
 namespace saltquay::serving {
 
-double InitialPrefillShare(const RolePlannerParameters& parameters, int places) {
-  if (places <= 0 || places >= parameters.initial_share_slots) return parameters.initial_prefill_share;
-  const double reading = parameters.initial_prefill_share * places;
-  const double answering = (1 - parameters.initial_prefill_share) * parameters.initial_share_slots;
-  return reading / (reading + answering);
+double InitialPrefillShare(const RolePlannerParameters& parameters, int slots_per_engine) {
+  if (slots_per_engine <= 0 || slots_per_engine >= parameters.initial_share_slots)
+    return parameters.initial_prefill_share;
+  const double prefill_ratio = parameters.initial_prefill_share * slots_per_engine;
+  const double decode_ratio = (1 - parameters.initial_prefill_share) * parameters.initial_share_slots;
+  return prefill_ratio / (prefill_ratio + decode_ratio);
 }
 
 double IdealPrefillEngines(const RolePlannerParameters& parameters, const ServiceDemand& demand, int engines,
-                           int places) {
+                           int slots_per_engine) {
   const double prefill = demand.prefill_engines;
   const double decode = demand.decode_engines;
-  if (parameters.IsIdle(demand)) return InitialPrefillShare(parameters, places) * engines;
+  if (parameters.IsIdle(demand)) return InitialPrefillShare(parameters, slots_per_engine) * engines;
   const double spare = engines - prefill - decode;
   if (spare <= 0) return engines * prefill / (prefill + decode);
   const double prefill_root = std::sqrt(parameters.prefill_weight * prefill);
@@ -26,11 +27,11 @@
 
 namespace {
 
-// Of `serving` engines of the other stage, how many should change for a gap of
-// so many engines beyond the deadband.
-int EnginesToChange(double gap, int serving, int keep, int allowed) {
+// How many of the `serving` engines of the other stage should change, for a gap of this many engines beyond the
+// deadband.
+int EnginesToChange(double gap, int serving, int min_per_stage, int allowed) {
   const int wanted = 1 + static_cast<int>(std::max(0.0, gap));
-  return std::min({wanted, serving - keep, allowed});
+  return std::min({wanted, serving - min_per_stage, allowed});
 }
 
 int MaxConcurrentChanges(const RolePlannerParameters& parameters, bool idle, int known) {
@@ -47,27 +48,29 @@
   const bool idle = parameters.IsIdle(demand);
   const bool empty_stage = (counts.prefill == 0) != (counts.decode == 0);
   const int changing = counts.to_prefill + counts.to_decode;
-  // A stage without any engine cannot wait for the changes before.
+  // A stage without engines cannot wait for changes in progress.
   const int allowed = empty_stage ? 1 : MaxConcurrentChanges(parameters, idle, counts.known) - changing;
   if (allowed <= 0) return std::nullopt;
-  // What is out may not come back soon, but its loss must not lower what is kept.
-  const int keep = std::min(std::clamp(counts.known / 3, 1, parameters.keep), serving / 2);
+  // Ejected engines may not return soon, but losing them must not lower the minimum.
+  const int min_per_stage = std::min(std::clamp(counts.known / 3, 1, parameters.min_per_stage), serving / 2);
   const int engines = serving + changing;
   const int prefill = counts.prefill + counts.to_prefill;
-  const double ideal = std::clamp(IdealPrefillEngines(parameters, demand, engines, counts.places),
-                                  static_cast<double>(keep), static_cast<double>(engines - keep));
-  const double calm = idle ? parameters.initial_deadband : parameters.deadband;
-  const bool prefill_pressed = demand.prefill_engines > parameters.saturated_load * counts.prefill;
-  const bool decode_pressed = demand.decode_engines > parameters.saturated_load * counts.decode;
-  const double prefill_deadband = prefill_pressed && !decode_pressed ? parameters.saturated_deadband : calm;
-  const double decode_deadband = decode_pressed && !prefill_pressed ? parameters.saturated_deadband : calm;
+  const double ideal = std::clamp(IdealPrefillEngines(parameters, demand, engines, counts.slots_per_engine),
+                                  static_cast<double>(min_per_stage), static_cast<double>(engines - min_per_stage));
+  const double normal_deadband = idle ? parameters.initial_deadband : parameters.deadband;
+  const bool prefill_saturated = demand.prefill_engines > parameters.saturated_load * counts.prefill;
+  const bool decode_saturated = demand.decode_engines > parameters.saturated_load * counts.decode;
+  const double prefill_deadband =
+      prefill_saturated && !decode_saturated ? parameters.saturated_deadband : normal_deadband;
+  const double decode_deadband =
+      decode_saturated && !prefill_saturated ? parameters.saturated_deadband : normal_deadband;
   const double to_prefill = ideal - prefill - prefill_deadband;
   const double to_decode = prefill - ideal - decode_deadband;
   StageChangePlan plan;
-  if (counts.prefill < keep || to_prefill > 0) {
-    plan = {EngineStage::kPrefill, EnginesToChange(to_prefill, counts.decode, keep, allowed)};
-  } else if (counts.decode < keep || to_decode > 0) {
-    plan = {EngineStage::kDecode, EnginesToChange(to_decode, counts.prefill, keep, allowed)};
+  if (counts.prefill < min_per_stage || to_prefill > 0) {
+    plan = {EngineStage::kPrefill, EnginesToChange(to_prefill, counts.decode, min_per_stage, allowed)};
+  } else if (counts.decode < min_per_stage || to_decode > 0) {
+    plan = {EngineStage::kDecode, EnginesToChange(to_decode, counts.prefill, min_per_stage, allowed)};
   }
   return plan.engines > 0 ? std::optional(plan) : std::nullopt;
 }
--- a/src/core/serving/role_planner.h
+++ b/src/core/serving/role_planner.h
@@ -1,10 +1,8 @@
-// How many of a service's engines should read prompts (prefill) rather than
-// answer (decode).
+// Plans how many of a service's engines serve prefill rather than decode.
 //
-// With demands P and D (engines kept busy) and N engines, spare capacity is
-// shared in proportion to the square roots of the weighted demands: that split
-// minimises the sum of the two queues' waits, w * P / (p - P) + D / (N - p - D).
-// An engine is moved only when the ideal split is further away than a deadband.
+// With demands P and D (engines kept busy) and N engines, spare capacity is divided in proportion to the square roots
+// of the weighted demands. This split minimises the sum of the waiting times of both queues, w * P / (p - P) + D / (N -
+// p - D). An engine is moved only if the ideal split is further away than a deadband.
 #pragma once
 
 #include <optional>
@@ -16,17 +14,17 @@
 namespace saltquay::serving {
 
 struct RolePlannerParameters {
-  double initial_prefill_share = 0.67;  // Before any demand is known, where an engine has
-  int initial_share_slots = 18;         // so many places or more; with fewer, more engines have to answer.
-  double prefill_weight = 2.0;          // Waiting to be read delays the first event more.
-  double idle_demand = 0.15;            // Below it (both together) demand is not known.
-  double initial_deadband = 0.6;        // Engines between the present and the ideal split, before demand is known.
-  double deadband = 1.4;                // The same under load: a change costs seconds of an engine.
-  double saturated_deadband = 0.8;      // The same where the stage that would gain is nearly always busy.
-  double saturated_load = 0.85;         // Demand for each engine of a stage, from where it is.
-  int keep = 3;                         // Of each stage, or a third where there are fewer.
-  double change_share = 0.08;           // Of a service's engines that may be changing at one time under load,
-  double idle_change_share = 0.34;      // and before any demand is known. One engine always may.
+  double initial_prefill_share = 0.67;  // While there is no demand, if an engine has at least
+  int initial_share_slots = 18;         // this many slots; with fewer, more decode engines are needed.
+  double prefill_weight = 2.0;          // Waiting for prefill adds more to the time to first token.
+  double idle_demand = 0.15;            // Below this total there is no usable demand.
+  double initial_deadband = 0.6;        // Engines between the current and the ideal split, while there is no demand.
+  double deadband = 1.4;                // The same under load: a change takes an engine out of service for seconds.
+  double saturated_deadband = 0.8;      // The same if the stage that would gain engines is saturated.
+  double saturated_load = 0.85;         // Demand per engine from which a stage counts as saturated.
+  int min_per_stage = 3;                // Minimum per stage, or a third of the engines if that is fewer.
+  double change_share = 0.08;           // Share of a service's engines that may change at once under load,
+  double idle_change_share = 0.34;      // and while there is no demand. One engine always may.
 
   bool IsIdle(const ServiceDemand& demand) const {
     return demand.prefill_engines + demand.decode_engines < idle_demand;
@@ -35,32 +33,31 @@
 
 // A service's engines by stage.
 struct StageCounts {
-  int prefill = 0;  // That serve.
+  int prefill = 0;  // Engines in service.
   int decode = 0;
-  int to_prefill = 0;  // On the way to that stage: held for the change, or away.
+  int to_prefill = 0;  // Engines held for a change to that stage, or changing.
   int to_decode = 0;
-  int known = 0;  // All of these, and those that are out.
-  int prefill_out = 0;
-  int decode_out = 0;
-  int places = 0;  // Requests that one of the engines runs at once; 0: not known.
+  int known = 0;  // All of these and the ejected ones.
+  int prefill_ejected = 0;
+  int decode_ejected = 0;
+  int slots_per_engine = 0;  // Slots per engine; 0: unknown.
 };
 
 struct StageChangePlan {
-  EngineStage stage = EngineStage::kUniform;  // That more engines should take.
+  EngineStage stage = EngineStage::kUniform;  // The stage that should gain engines.
   int engines = 0;
 };
 
-// Returns the share of the engines that should read before any demand is known. An engine with few places answers as
-// many times fewer requests at once, but reads as fast: more of them have to answer.
-double InitialPrefillShare(const RolePlannerParameters& parameters, int places);
+// Returns the share of prefill engines while there is no demand. An engine with few slots decodes proportionally fewer
+// requests at once, but its prefill is as fast, so more decode engines are needed.
+double InitialPrefillShare(const RolePlannerParameters& parameters, int slots_per_engine);
 
 // Returns the ideal number of prefill engines of `engines`, as a fraction.
 double IdealPrefillEngines(const RolePlannerParameters& parameters, const ServiceDemand& demand, int engines,
-                           int places = 0);
+                           int slots_per_engine = 0);
 
-// Returns the changes that should begin now, or nothing. A small service
-// changes one engine at a time; a large one several, so that the split follows
-// a shift of the mix as fast as in a small one.
+// Returns the changes to start now, if any. A small service changes one engine at a time; a large one changes several,
+// so that its split follows a shift of the workload as fast as in a small one.
 std::optional<StageChangePlan> PlanStageChange(const RolePlannerParameters& parameters, const ServiceDemand& demand,
                                                const StageCounts& counts);
 
--- a/src/core/serving/topology.cc
+++ b/src/core/serving/topology.cc
@@ -21,26 +21,26 @@
   return entry->second;
 }
 
-Duration Topology::Guess(std::string_view first, std::string_view second) const {
+Duration Topology::DefaultLatency(std::string_view first, std::string_view second) const {
   if (first == second) return parameters_.in_zone;
   return SameRegion(first, second) ? parameters_.in_region : parameters_.between_regions;
 }
 
-Duration Topology::Distance(std::string_view first, std::string_view second) const {
+Duration Topology::Latency(std::string_view first, std::string_view second) const {
   if (first != own_zone_) std::swap(first, second);
-  if (first != own_zone_) return Guess(first, second);
+  if (first != own_zone_) return DefaultLatency(first, second);
   const auto entry = measured_.find(second);
-  return entry == measured_.end() ? Guess(first, second) : entry->second;
+  return entry == measured_.end() ? DefaultLatency(first, second) : entry->second;
 }
 
-// The least of late: a way is as long as it is without queues, and a machine that is busy answers late.
+// Keeps the lowest recent latency: that is the latency without queueing, and a busy machine responds late.
 void Topology::RecordRoundTrip(std::string_view zone, Duration round_trip) {
-  constexpr double kForget = 0.01;  // A way that has become longer is believed after some hundred round trips.
+  constexpr double kIncreaseRate = 0.01;  // An increased latency is adopted after about a hundred round trips.
   const Duration one_way = round_trip / 2;
   const auto [entry, first] = measured_.try_emplace(std::string(zone), one_way);
   if (first) return;
   Duration& known = entry->second;
-  known = one_way < known ? one_way : known + FromSeconds(kForget * ToSeconds(one_way - known));
+  known = one_way < known ? one_way : known + FromSeconds(kIncreaseRate * ToSeconds(one_way - known));
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/topology.h
+++ b/src/core/serving/topology.h
@@ -1,9 +1,9 @@
-// Where zones lie: their regions, and how far they are from each other.
+// The regions of zones, and the network latency between zones.
 //
-// One copy a node, asked by whatever weighs a way: the choice of engines, homes
-// of prompts, the peers' digests, the store's readers, plans of roles. A
-// distance is first taken from the settings' guess and then learned from round
-// trips of this node; of two zones that are both elsewhere, from their regions.
+// Each node has one instance, used by everything that weighs network latency: the choice of engines, home engines of
+// prompts, the peers' digests, reads from the store, and role plans. A latency starts as the configured default and is
+// then learned from this node's round trips. Between two zones that are both remote, the default for their regions is
+// used.
 #pragma once
 
 #include <map>
@@ -14,8 +14,8 @@
 
 namespace saltquay::serving {
 
-// One way, before anything was measured. Machines of one zone share a building, zones of one region a city; regions are
-// some hundred kilometres and several networks apart.
+// Default one-way latencies. Machines of one zone share a building, and zones of one region a city; regions are some
+// hundred kilometres and several networks apart.
 struct TopologyParameters {
   Duration in_zone = 100us;
   Duration in_region = 1ms;
@@ -24,8 +24,8 @@
 
 class Topology {
  public:
-  // `regions`: of each zone, by its name. A zone that is not named there is a region of its own; where no zone is
-  // named, all are of one region.
+  // `regions`: region of each zone by name. A zone that is not listed is a region of its own; if no zone is listed, all
+  // zones are in one region.
   Topology(std::string own_zone, std::map<std::string, std::string, std::less<>> regions,
            const TopologyParameters& parameters);
 
@@ -34,23 +34,23 @@
   std::string_view OwnRegion() const { return RegionOf(own_zone_); }
   bool IsOwnRegion(std::string_view zone) const { return RegionOf(zone) == OwnRegion(); }
   bool SameRegion(std::string_view first, std::string_view second) const { return RegionOf(first) == RegionOf(second); }
-  // Whether the fleet lies in more than one region.
+  // Whether the fleet spans more than one region.
   bool HasMultipleRegions() const { return has_regions_; }
 
-  // One way between machines of the two zones.
-  Duration Distance(std::string_view first, std::string_view second) const;
-  Duration DistanceTo(std::string_view zone) const { return Distance(own_zone_, zone); }
-  // A connection to a machine of `zone` came up after one round trip of that time.
+  // One-way latency between machines of the two zones.
+  Duration Latency(std::string_view first, std::string_view second) const;
+  Duration LatencyTo(std::string_view zone) const { return Latency(own_zone_, zone); }
+  // Records the round-trip time of setting up a connection to a machine of `zone`.
   void RecordRoundTrip(std::string_view zone, Duration round_trip);
 
  private:
-  Duration Guess(std::string_view first, std::string_view second) const;
+  Duration DefaultLatency(std::string_view first, std::string_view second) const;
 
   std::string own_zone_;
   std::map<std::string, std::string, std::less<>> regions_;
   TopologyParameters parameters_;
   bool has_regions_ = false;
-  std::map<std::string, Duration, std::less<>> measured_;  // From the own zone, one way.
+  std::map<std::string, Duration, std::less<>> measured_;  // One way, from this node's zone.
 };
 
 }  // namespace saltquay::serving
--- a/tests/core/serving/engine_index_test.cc
+++ b/tests/core/serving/engine_index_test.cc
@@ -1,4 +1,4 @@
-// Choices among many engines: as good as by looking at all, at a cost that does not grow with them.
+// Selection among many engines: as good as comparing all of them, at a cost that does not grow with their number.
 #include <map>
 #include <string>
 
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr Time kNow{1s};
-constexpr int kMany = 300;
+constexpr int kEngineCount = 300;
 
 class ManyEnginesTest : public ::testing::Test {
  protected:
   ManyEnginesTest() {
-    for (int i = 0; i < kMany; ++i) engines_.Update(Record(i, EngineStage::kPrefill));
-    for (int i = 0; i < kMany; ++i) engines_.Update(Record(i, EngineStage::kDecode));
+    for (int i = 0; i < kEngineCount; ++i) engines_.Update(Record(i, EngineStage::kPrefill));
+    for (int i = 0; i < kEngineCount; ++i) engines_.Update(Record(i, EngineStage::kDecode));
   }
   static EngineRecord Record(int number, EngineStage stage) {
     EngineRecord record;
@@ -33,10 +33,10 @@
     prompt.parts = {{fmt::format("part-{}", shared), 6000}, {"own", 3000}};
     return prompt;
   }
-  EngineState* Reader(const PromptMetadata& prompt, const EngineIds& tried = {}) {
+  EngineState* ChoosePrefill(const PromptMetadata& prompt, const EngineIds& tried = {}) {
     return selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, prompt, tried, kNow);
   }
-  EngineState* Decode(const EngineIds& tried = {}) {
+  EngineState* ChooseDecode(const EngineIds& tried = {}) {
     return selector_.ChooseDecodeEngine(engines_, "s", "a", tried, kNow);
   }
 
@@ -44,7 +44,7 @@
   EngineSelector selector_{ServingParameters{}, "a", 7};
 };
 
-TEST_F(ManyEnginesTest, HomesAreSpreadEvenlyAndAlikeOnAllNodes) {
+TEST_F(ManyEnginesTest, HomesAreSpreadEvenlyAndIdenticalOnAllNodes) {
   constexpr int kParts = 6000;
   EngineIndex index;
   const Topology topology("b", {}, TopologyParameters{});
@@ -59,13 +59,13 @@
     ++parts[homes.first];
     if (i < 50) {
       selector_.RecordPrefill(homes.first->key, Prompt(i), kNow);
-      EXPECT_EQ(Reader(Prompt(i)), homes.first);
+      EXPECT_EQ(ChoosePrefill(Prompt(i)), homes.first);
     }
   }
-  for (const auto& [engine, count] : parts) EXPECT_LT(count, 2.5 * kParts / kMany) << engine->record.id;
+  for (const auto& [engine, count] : parts) EXPECT_LT(count, 2.5 * kParts / kEngineCount) << engine->record.id;
 }
 
-TEST_F(ManyEnginesTest, AHomeThatIsLostMovesItsOwnPartsOnlyAndToItsSecond) {
+TEST_F(ManyEnginesTest, LosingAHomeMovesOnlyItsPartsToTheirSecondHome) {
   EngineIndex index;
   const Topology topology("a", {}, TopologyParameters{});
   index.Refresh(engines_, topology);
@@ -82,50 +82,50 @@
   }
 }
 
-TEST_F(ManyEnginesTest, AKeeperIsFoundAmongAll) {
+TEST_F(ManyEnginesTest, AnEngineThatCachesThePromptIsFoundAmongAll) {
   const PromptMetadata prompt = Prompt(1);
-  EngineState* home = Reader(prompt);
-  home->outstanding_prompt_tokens = 400'000;  // Far too much to wait for.
-  EngineState* keeper = engines_.Find("p17");
-  selector_.RecordPrefill(keeper->key, prompt, kNow);
-  EXPECT_EQ(selector_.FindCopySource(engines_, *home, prompt, kNow), keeper);
+  EngineState* home = ChoosePrefill(prompt);
+  home->outstanding_prompt_tokens = 400'000;  // Far too long to wait for.
+  EngineState* caching_engine = engines_.Find("p17");
+  selector_.RecordPrefill(caching_engine->key, prompt, kNow);
+  EXPECT_EQ(selector_.FindCopySource(engines_, *home, prompt, kNow), caching_engine);
   EXPECT_DOUBLE_EQ(selector_.MinPrefillMs(engines_, "s", prompt, kNow), 3000 / selector_.read_rate());
 }
 
-TEST_F(ManyEnginesTest, WhatIsFreeIsFoundWhereverItIs) {
+TEST_F(ManyEnginesTest, AFreeEngineIsFoundInAnyZone) {
   engines_.ForEachPresent([](EngineState& engine) { engine.ejected_until = kNow + 1s; });
   engines_.Find("p201")->ejected_until = engines_.Find("d201")->ejected_until = Time{};
-  EXPECT_EQ(Reader(Prompt(1))->record.id, "p201");
-  EXPECT_EQ(Decode()->record.id, "d201");
-  EXPECT_FALSE(Decode({"d201"}) == nullptr);  // One that is out, before none.
+  EXPECT_EQ(ChoosePrefill(Prompt(1))->record.id, "p201");
+  EXPECT_EQ(ChooseDecode()->record.id, "d201");
+  EXPECT_FALSE(ChooseDecode({"d201"}) == nullptr);  // An ejected engine is better than none.
 }
 
-TEST_F(ManyEnginesTest, DrawnEnginesShareABurst) {
+TEST_F(ManyEnginesTest, SampledEnginesShareABurst) {
   constexpr int kEach = 4;
-  for (int i = 0; i < kEach * kMany; ++i) ++Decode()->outstanding;
+  for (int i = 0; i < kEach * kEngineCount; ++i) ++ChooseDecode()->outstanding;
   int most = 0;
   for (const auto& [id, engine] : engines_.all()) most = std::max(most, engine.outstanding);
   EXPECT_LE(most, 3 * kEach);
 }
 
-TEST_F(ManyEnginesTest, EnginesThatComeOrGoAreKnownAtOnce) {
+TEST_F(ManyEnginesTest, AddedAndRemovedEnginesTakeEffectAtOnce) {
   const PromptMetadata prompt = Prompt(3);
-  const std::string home = Reader(prompt)->record.id;
+  const std::string home = ChoosePrefill(prompt)->record.id;
   EngineRecord leaving = engines_.Find(home)->record;
   leaving.leaving = true;
   engines_.Update(leaving);
-  EXPECT_NE(Reader(prompt)->record.id, home);
+  EXPECT_NE(ChoosePrefill(prompt)->record.id, home);
   leaving.leaving = false;
   engines_.Update(leaving);
-  EXPECT_EQ(Reader(prompt)->record.id, home);
+  EXPECT_EQ(ChoosePrefill(prompt)->record.id, home);
   engines_.Remove(home);
-  EXPECT_NE(Reader(prompt)->record.id, home);
+  EXPECT_NE(ChoosePrefill(prompt)->record.id, home);
 }
 
 TEST_F(ManyEnginesTest, CountsFollowWithinMilliseconds) {
-  EXPECT_EQ(selector_.CountEngines(engines_, "s", EngineStage::kDecode, kNow).engines, kMany);
+  EXPECT_EQ(selector_.CountEngines(engines_, "s", EngineStage::kDecode, kNow).engines, kEngineCount);
   engines_.Find("d1")->ejected_until = kNow + 1s;
-  EXPECT_EQ(selector_.CountEngines(engines_, "s", EngineStage::kDecode, kNow + 50ms).engines, kMany - 1);
+  EXPECT_EQ(selector_.CountEngines(engines_, "s", EngineStage::kDecode, kNow + 50ms).engines, kEngineCount - 1);
 }
 
 }  // namespace
--- a/tests/core/serving/engine_restart_test.cc
+++ b/tests/core/serving/engine_restart_test.cc
@@ -1,13 +1,13 @@
-// Engines that start again under their id.
+// Engines that restart under the same id.
 #include "tests/support/serving_fixture.h"
 
 namespace saltquay::serving {
 namespace {
 
-class EngineLivesTest : public ServingFixture {};
+class EngineRestartTest : public ServingFixture {};
 
-// Guards against: an engine that started again under its id is taken for the life before.
-TEST_F(EngineLivesTest, ANewLifeDropsWhatWasKnownOfTheOneBefore) {
+// Guards against attributing the state of an engine's earlier incarnation to the one that restarted under its id.
+TEST_F(EngineRestartTest, ARestartDropsTheStateOfTheEarlierIncarnation) {
   EngineDirectory engines{EjectionPolicy{}};
   EngineRecord record;
   record.id = "e";
@@ -28,7 +28,7 @@
   EXPECT_NE(after.key, key_before);
 }
 
-TEST_F(EngineLivesTest, LateWordOfAnEarlierLifeChangesNothing) {
+TEST_F(EngineRestartTest, ADelayedUpdateOfAnEarlierIncarnationIsIgnored) {
   EngineDirectory engines{EjectionPolicy{}};
   EngineRecord record;
   record.id = "e";
@@ -41,7 +41,7 @@
   EXPECT_FALSE(engines.Find("e")->record.leaving);
 }
 
-TEST_F(EngineLivesTest, WorkAtAnEarlierLifeIsNotTakenOffTheNewOne) {
+TEST_F(EngineRestartTest, WorkOfAnEarlierIncarnationIsNotSubtractedFromTheNewOne) {
   Arrive("once");
   const auto start = One<StartAttempt>();
   EngineRecord record = core_.engines().Find(start.engine_id)->record;
--- a/tests/core/serving/engine_selection_test.cc
+++ b/tests/core/serving/engine_selection_test.cc
@@ -1,4 +1,4 @@
-// Engine standing, retry allowance, homes of prompts, peers' reports.
+// Engine health and ejection, retry allowance, choice of prefill and decode engines, peer reports.
 #include <cmath>
 #include <functional>
 #include <map>
@@ -36,7 +36,7 @@
   EXPECT_EQ(config.FindRoute("other", "/a/"), nullptr);
 }
 
-TEST(EngineDirectoryTest, FailuresInARowEjectAndProbationEjectsAtOnce) {
+TEST(EngineDirectoryTest, ConsecutiveFailuresEjectAndOneFailureOnProbationEjectsAgain) {
   EngineDirectory engines{EjectionPolicy{}};
   engines.Update(Record("e", EngineStage::kUniform));
   Time now{1s};
@@ -50,7 +50,7 @@
   EXPECT_EQ(second->span, 2s);
 }
 
-TEST(EngineDirectoryTest, ErrorsEjectOnlyWhatIsWorseThanTheOthers) {
+TEST(EngineDirectoryTest, ErrorsEjectOnlyEnginesWorseThanTheOthers) {
   EngineDirectory engines{EjectionPolicy{}};
   for (const char* id : {"a", "b", "c"}) engines.Update(Record(id, EngineStage::kUniform));
   bool ejected = false;
@@ -58,7 +58,7 @@
     for (const char* id : {"a", "b", "c"})
       ejected = ejected || engines.RecordResponse(id, i % 2 == 0, Time{1s}).has_value();
   }
-  EXPECT_FALSE(ejected);  // All alike: taking one out would help nobody.
+  EXPECT_FALSE(ejected);  // All engines fail equally: ejecting one would not help.
   for (int i = 0; i < 40 && !ejected; ++i) {
     engines.RecordResponse("a", false, Time{1s});
     engines.RecordResponse("b", false, Time{1s});
@@ -67,7 +67,7 @@
   EXPECT_TRUE(ejected);
 }
 
-std::map<EngineKey, EngineWork> Seen(const std::string& engine, int answers, int failures) {
+std::map<EngineKey, EngineWork> OutcomesOf(const std::string& engine, int answers, int failures) {
   EngineWork work;
   work.engine = engine;
   work.answers = answers;
@@ -75,35 +75,35 @@
   return {{work.engine, work}};
 }
 
-TEST(EngineDirectoryTest, WhatAllNodesSawEjectsWithoutAFailureOfOnesOwn) {
-  // On 295 nodes each of 20 dark engines would have to hurt each node once.
+TEST(EngineDirectoryTest, OutcomesOfAllNodesEjectWithoutALocalFailure) {
+  // On 295 nodes, each of 20 unresponsive engines would otherwise have to fail a request on every node.
   EngineDirectory engines{EjectionPolicy{}};
   for (const char* id : {"a", "b", "c", "d"}) engines.Update(Record(id, EngineStage::kDecode));
-  EXPECT_TRUE(engines.EjectByFleetOutcomes(Seen("a", 0, 2), 0.5, Time{1s}).empty());
-  EXPECT_TRUE(engines.EjectByFleetOutcomes(Seen("a", 1, 3), 0.5, Time{1s}).empty());  // It answers somebody.
-  const auto changes = engines.EjectByFleetOutcomes(Seen("a", 0, 3), 0.5, Time{1s});
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(OutcomesOf("a", 0, 2), 0.5, Time{1s}).empty());
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(OutcomesOf("a", 1, 3), 0.5, Time{1s}).empty());  // It responds to some node.
+  const auto changes = engines.EjectByFleetOutcomes(OutcomesOf("a", 0, 3), 0.5, Time{1s});
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].engine, "a");
   EXPECT_TRUE(engines.Find("a")->IsOutOfService(Time{3900ms}));
   EXPECT_FALSE(engines.Find("a")->IsOutOfService(Time{4100ms}));
-  EXPECT_TRUE(engines.EjectByFleetOutcomes(Seen("a", 0, 9), 0.5, Time{2s}).empty());  // It is out already.
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(OutcomesOf("a", 0, 9), 0.5, Time{2s}).empty());  // It is ejected already.
 }
 
-TEST(EngineDirectoryTest, ErrorsOfAllNodesEjectOnlyWhatIsWorseThanTheOthers) {
+TEST(EngineDirectoryTest, ErrorsOnAllNodesEjectOnlyEnginesWorseThanTheOthers) {
   EngineDirectory engines{EjectionPolicy{}};
-  std::map<EngineKey, EngineWork> alike;
+  std::map<EngineKey, EngineWork> equal_outcomes;
   for (const char* id : {"a", "b", "c", "d"}) {
     engines.Update(Record(id, EngineStage::kDecode));
-    alike.merge(Seen(id, 10, 10));
+    equal_outcomes.merge(OutcomesOf(id, 10, 10));
   }
-  EXPECT_TRUE(engines.EjectByFleetOutcomes(alike, 0, Time{1s}).empty());
-  alike["b"].answers = alike["c"].answers = alike["d"].answers = 60;
-  const auto changes = engines.EjectByFleetOutcomes(alike, 0, Time{1s});
+  EXPECT_TRUE(engines.EjectByFleetOutcomes(equal_outcomes, 0, Time{1s}).empty());
+  equal_outcomes["b"].answers = equal_outcomes["c"].answers = equal_outcomes["d"].answers = 60;
+  const auto changes = engines.EjectByFleetOutcomes(equal_outcomes, 0, Time{1s});
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].engine, "a");
 }
 
-TEST(EngineDirectoryTest, OutcomesAreForgottenAfterTwoSeconds) {
+TEST(EngineDirectoryTest, OutcomesExpireAfterTwoSeconds) {
   RecentOutcomes outcomes;
   outcomes.Note(true, Time{10s});
   outcomes.Note(false, Time{10s});
@@ -112,63 +112,63 @@
   EXPECT_EQ(outcomes.Counts(Time{12600ms}).failures, 0);
 }
 
-TEST(RetryAllowanceTest, ANodeThatKnowsNoPeersHasNoPartOfTheSlack) {
-  RetryBudgetShare allowance(RetryBudgetBounds{0.2, 10s, 630, 0.8});
-  EXPECT_FALSE(allowance.TryTake("s", Time{1s}));
-  allowance.set_nodes(295, Time{1s});
-  EXPECT_TRUE(allowance.TryTake("s", Time{1s}));
-  EXPECT_FALSE(allowance.TryTake("s", Time{1s}));
+TEST(RetryBudgetShareTest, ANodeWithoutKnownPeersGetsNoShareOfTheSlack) {
+  RetryBudgetShare budget_share(RetryBudgetBounds{0.2, 10s, 630, 0.8});
+  EXPECT_FALSE(budget_share.TryTake("s", Time{1s}));
+  budget_share.set_nodes(295, Time{1s});
+  EXPECT_TRUE(budget_share.TryTake("s", Time{1s}));
+  EXPECT_FALSE(budget_share.TryTake("s", Time{1s}));
 }
 
-// A lost node's share is not taken over while it may be cut off and spend it.
-TEST(RetryAllowanceTest, NodesThatWereLostKeepTheirShareForTheRememberedWindows) {
-  RetryBudgetShare allowance(RetryBudgetBounds{0, 10s, 630, 0.8, 3});
-  allowance.set_nodes(295, Time{1s});
-  allowance.set_nodes(100, Time{3s});
-  EXPECT_LT(allowance.Left("s", Time{9s}), 2);
-  allowance.set_nodes(100, Time{30s});
-  EXPECT_LT(allowance.Left("s", Time{30s}), 2);
-  allowance.set_nodes(100, Time{32s});
-  EXPECT_GT(allowance.Left("s", Time{32s}), 4);
+// The share of a lost node is not redistributed while the node may only be disconnected and still spend it.
+TEST(RetryBudgetShareTest, LostNodesKeepTheirShareForTheRetainedWindows) {
+  RetryBudgetShare budget_share(RetryBudgetBounds{0, 10s, 630, 0.8, 3});
+  budget_share.set_nodes(295, Time{1s});
+  budget_share.set_nodes(100, Time{3s});
+  EXPECT_LT(budget_share.Left("s", Time{9s}), 2);
+  budget_share.set_nodes(100, Time{30s});
+  EXPECT_LT(budget_share.Left("s", Time{30s}), 2);
+  budget_share.set_nodes(100, Time{32s});
+  EXPECT_GT(budget_share.Left("s", Time{32s}), 4);
 }
 
-TEST(RetryAllowanceTest, AProcessThatFollowsAnotherHasNoPartOfTheSlackForAWindow) {
-  RetryBudgetShare allowance(RetryBudgetBounds{0.5, 10s, 54, 1.0});
-  allowance.BeginAfterRestart(Time{1s});
-  allowance.set_nodes(1, Time{1s});
-  EXPECT_FALSE(allowance.TryTake("s", Time{2s}));
-  for (int i = 0; i < 2; ++i) allowance.NoteRequest("s", Time{2s});
-  EXPECT_TRUE(allowance.TryTake("s", Time{2s}));
-  EXPECT_FALSE(allowance.TryTake("s", Time{10s}));
-  EXPECT_TRUE(allowance.TryTake("s", Time{11s}));
+TEST(RetryBudgetShareTest, ARestartedProcessGetsNoShareOfTheSlackForAWindow) {
+  RetryBudgetShare budget_share(RetryBudgetBounds{0.5, 10s, 54, 1.0});
+  budget_share.BeginAfterRestart(Time{1s});
+  budget_share.set_nodes(1, Time{1s});
+  EXPECT_FALSE(budget_share.TryTake("s", Time{2s}));
+  for (int i = 0; i < 2; ++i) budget_share.NoteRequest("s", Time{2s});
+  EXPECT_TRUE(budget_share.TryTake("s", Time{2s}));
+  EXPECT_FALSE(budget_share.TryTake("s", Time{10s}));
+  EXPECT_TRUE(budget_share.TryTake("s", Time{11s}));
 }
 
-RC_GTEST_PROP(RetryAllowanceProperty, AllNodesTogetherKeepTheBudget, ()) {
+RC_GTEST_PROP(RetryBudgetShareProperty, AllNodesTogetherStayWithinTheBudget, ()) {
   const int nodes = *rc::gen::inRange(1, 12);
   const RetryBudgetBounds bounds{0.2, 10s, 54, 0.8};
-  std::vector<RetryBudgetShare> allowances(static_cast<std::size_t>(nodes), RetryBudgetShare(bounds));
-  for (RetryBudgetShare& allowance : allowances) allowance.set_nodes(nodes, Time{1s});
+  std::vector<RetryBudgetShare> budget_shares(static_cast<std::size_t>(nodes), RetryBudgetShare(bounds));
+  for (RetryBudgetShare& budget_share : budget_shares) budget_share.set_nodes(nodes, Time{1s});
   int requests = 0;
   int extras = 0;
   const int events = *rc::gen::inRange(0, 400);
   for (int i = 0; i < events; ++i) {
-    RetryBudgetShare& allowance = allowances[static_cast<std::size_t>(*rc::gen::inRange(0, nodes))];
+    RetryBudgetShare& budget_share = budget_shares[static_cast<std::size_t>(*rc::gen::inRange(0, nodes))];
     if (*rc::gen::inRange(0, 3) == 0) {
-      allowance.NoteRequest("s", Time{1s});
+      budget_share.NoteRequest("s", Time{1s});
       ++requests;
-    } else if (allowance.TryTake("s", Time{1s})) {
+    } else if (budget_share.TryTake("s", Time{1s})) {
       ++extras;
     }
   }
   RC_ASSERT(extras <= bounds.ratio * requests + bounds.slack);
 }
 
-TEST(RetryAllowanceTest, WhatIsOlderThanTheWindowIsForgotten) {
-  RetryBudgetShare allowance(RetryBudgetBounds{0, 10s, 10, 1.0});
-  allowance.set_nodes(1, Time{1s});
-  for (int i = 0; i < 5; ++i) EXPECT_TRUE(allowance.TryTake("s", Time{1s}));
-  EXPECT_FALSE(allowance.TryTake("s", Time{5s}));
-  EXPECT_TRUE(allowance.TryTake("s", Time{12s}));
+TEST(RetryBudgetShareTest, RetriesOlderThanTheWindowExpire) {
+  RetryBudgetShare budget_share(RetryBudgetBounds{0, 10s, 10, 1.0});
+  budget_share.set_nodes(1, Time{1s});
+  for (int i = 0; i < 5; ++i) EXPECT_TRUE(budget_share.TryTake("s", Time{1s}));
+  EXPECT_FALSE(budget_share.TryTake("s", Time{5s}));
+  EXPECT_TRUE(budget_share.TryTake("s", Time{12s}));
 }
 
 class SelectorTest : public ::testing::Test {
@@ -184,7 +184,7 @@
   EngineSelector other_node_{ServingParameters{}, "a", 99};
 };
 
-TEST_F(SelectorTest, NodesAgreeOnHomesAndAnEnginesLossMovesOnlyItsParts) {
+TEST_F(SelectorTest, NodesAgreeOnHomesAndRemovingAnEngineMovesOnlyItsParts) {
   for (int i = 0; i < 5; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
   std::map<std::string, std::string> homes;
   for (int part = 0; part < 60; ++part) {
@@ -202,7 +202,7 @@
   }
 }
 
-TEST_F(SelectorTest, ABacklogLargerThanReadingAgainSendsThePromptElsewhere) {
+TEST_F(SelectorTest, ABacklogThatCostsMoreThanRecomputingMovesThePrompt) {
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
   EngineState* home = selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
   selector_.RecordPrefill(home->record.id, Prompt("x"), Time{1s});
@@ -212,24 +212,25 @@
   EXPECT_NE(selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s}), home);
 }
 
-TEST_F(SelectorTest, PeersNewsSayWhoKeepsAPart) {
+TEST_F(SelectorTest, CacheUpdatesFromPeersTellWhichEngineCachesAPart) {
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
   const EngineState* home =
       selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
-  const std::string keeper = home->record.id == "p0" ? "p1" : "p0";
-  other_node_.RecordPrefill(keeper, Prompt("x"), Time{1s});
-  const std::vector<KeptPart> news = other_node_.CacheUpdatesSince(Time{0s});
-  ASSERT_EQ(news.size(), 1U);
-  selector_.RecordCachedPart(news[0], Time{1s});
+  const std::string caching_engine = home->record.id == "p0" ? "p1" : "p0";
+  other_node_.RecordPrefill(caching_engine, Prompt("x"), Time{1s});
+  const std::vector<KeptPart> updates = other_node_.CacheUpdatesSince(Time{0s});
+  ASSERT_EQ(updates.size(), 1U);
+  selector_.RecordCachedPart(updates[0], Time{1s});
   EXPECT_EQ(selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{2s})->record.id,
-            keeper);
-  EXPECT_EQ(selector_.TokensToPrefill(keeper, Prompt("x"), Time{2s}), 4000);
-  EXPECT_EQ(selector_.TokensToPrefill(keeper, Prompt("x"), Time{60s}), 17000);  // Long unused: not counted on.
+            caching_engine);
+  EXPECT_EQ(selector_.TokensToPrefill(caching_engine, Prompt("x"), Time{2s}), 4000);
+  // Expired: no longer assumed to be cached.
+  EXPECT_EQ(selector_.TokensToPrefill(caching_engine, Prompt("x"), Time{60s}), 17000);
   EXPECT_TRUE(other_node_.CacheUpdatesSince(Time{5s}).empty());
 }
 
-TEST_F(SelectorTest, AReaderCopiesFromTheEngineThatKeepsMostElseFromTheHome) {
-  // fcl-norte-grown: engines beyond the homes read 13,300 shared tokens again.
+TEST_F(SelectorTest, PartsAreCopiedFromTheEngineThatCachesMostOrElseTheHome) {
+  // Found on fcl-norte-grown: engines other than the homes recomputed 13,300 shared tokens.
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
   EngineState* home = selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *home, Prompt("x"), Time{1s}), nullptr);
@@ -244,7 +245,7 @@
   EXPECT_EQ(selector_.FindCopySource(engines_, *other, Prompt("x"), Time{1s}), nullptr);
 }
 
-TEST_F(SelectorTest, AnEngineThatIsOutIsNoSourceOfCopies) {
+TEST_F(SelectorTest, EjectedEnginesAreNoCopySource) {
   for (int i = 0; i < 2; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
   selector_.RecordPrefill("p0", Prompt("x"), Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), engines_.Find("p0"));
@@ -252,7 +253,7 @@
   EXPECT_EQ(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), nullptr);
 }
 
-TEST_F(SelectorTest, WhatOnlyALeavingEngineKeepsIsCopiedWhileItLasts) {
+TEST_F(SelectorTest, PartsCachedOnlyByALeavingEngineAreCopiedUntilItIsRemoved) {
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
   selector_.RecordPrefill("p0", Prompt("x"), Time{1s});
   EngineRecord leaving = engines_.Find("p0")->record;
@@ -267,7 +268,7 @@
   EXPECT_NE(selector_.FindCopySource(engines_, *engines_.Find("p1"), Prompt("x"), Time{1s}), engines_.Find("p0"));
 }
 
-TEST_F(SelectorTest, EnginesThatAreOutAreTheLastResort) {
+TEST_F(SelectorTest, EjectedEnginesAreTheLastResort) {
   engines_.Update(Record("d1", EngineStage::kDecode));
   engines_.Update(Record("d2", EngineStage::kDecode));
   engines_.Find("d1")->ejected_until = Time{9s};
@@ -278,8 +279,8 @@
   EXPECT_EQ(selector_.ChooseDecodeEngine(engines_, "s", "", {}, Time{1s})->record.id, "d1");
 }
 
-// One hundred nodes that know the same and choose before they hear of each other.
-std::map<std::string, int> ChooseTogether(
+// One hundred nodes with the same information choose before they receive each other's reports.
+std::map<std::string, int> ChooseConcurrently(
     const UnreportedWork& unseen, const std::function<EngineState*(EngineSelector&, EngineDirectory&)>& choose) {
   std::map<std::string, int> chosen;
   for (std::uint64_t node = 0; node < 100; ++node) {
@@ -299,32 +300,32 @@
   return chosen;
 }
 
-TEST(SelectorHerdTest, WhatOthersStartMeanwhileSpreadsNodesOverTheEngines) {
-  const auto decode = [](EngineSelector& selector, EngineDirectory& engines) {
+TEST(SelectorHerdTest, UnreportedWorkSpreadsNodesOverTheEngines) {
+  const auto choose_decode = [](EngineSelector& selector, EngineDirectory& engines) {
     return selector.ChooseDecodeEngine(engines, "s", "", {}, Time{1s});
   };
-  EXPECT_EQ(ChooseTogether({}, decode)["d3"], 100);  // All send to the one that was free.
-  const auto spread = ChooseTogether({0, 100}, decode);
-  for (const auto& [engine, count] : spread) EXPECT_LE(count, 45) << engine;
-  EXPECT_GE(spread.size(), 8U);
-  EXPECT_GT(spread.at("d3"), 10);  // Still the best guess.
+  EXPECT_EQ(ChooseConcurrently({}, choose_decode)["d3"], 100);  // All choose the idle engine.
+  const auto chosen_engines = ChooseConcurrently({0, 100}, choose_decode);
+  for (const auto& [engine, count] : chosen_engines) EXPECT_LE(count, 45) << engine;
+  EXPECT_GE(chosen_engines.size(), 8U);
+  EXPECT_GT(chosen_engines.at("d3"), 10);  // Still the most likely choice.
 }
 
-TEST(SelectorHerdTest, PromptsThatLeaveTheirHomesDoNotAllGoToTheSameEngine) {
-  const auto read = [](EngineSelector& selector, EngineDirectory& engines) {
+TEST(SelectorHerdTest, PromptsThatLeaveTheirHomesAreSpreadOverEngines) {
+  const auto choose_prefill = [](EngineSelector& selector, EngineDirectory& engines) {
     PromptMetadata prompt;
     prompt.tokens = 17000;
-    prompt.parts = {{"part", 500}, {"own", 16500}};  // Little to read again elsewhere.
+    prompt.parts = {{"part", 500}, {"own", 16500}};  // Little to recompute elsewhere.
     return selector.ChoosePrefillEngine(engines, "s", EngineStage::kPrefill, prompt, {}, Time{1s});
   };
-  EXPECT_EQ(ChooseTogether({}, read)["p3"], 100);
-  const auto spread = ChooseTogether({4000000, 0}, read);
-  for (const auto& [engine, count] : spread) EXPECT_LE(count, 60) << engine;
-  EXPECT_GE(spread.size(), 3U);
+  EXPECT_EQ(ChooseConcurrently({}, choose_prefill)["p3"], 100);
+  const auto chosen_engines = ChooseConcurrently({4000000, 0}, choose_prefill);
+  for (const auto& [engine, count] : chosen_engines) EXPECT_LE(count, 60) << engine;
+  EXPECT_GE(chosen_engines.size(), 3U);
 }
 
-TEST(PeerTableTest, AReportNamesABoundedNumberOfPeersAndAllOfThemByTurns) {
-  // At 300 nodes, reports that named all would be 20 kB each, over links of 10 Mbit/s.
+TEST(PeerTableTest, AReportMentionsABoundedNumberOfPeersRoundRobin) {
+  // At 300 nodes, reports that mention all peers would be 20 kB each, over links of 10 Mbit/s.
   PeerTable peers("me");
   for (int i = 0; i < 100; ++i) {
     PeerReport report;
@@ -342,7 +343,7 @@
   EXPECT_EQ(peers.NextPeersToMention(200).size(), 100U);
 }
 
-TEST(PeerTableTest, NewerReportsReplaceAndSilentNodesAreForgotten) {
+TEST(PeerTableTest, NewerReportsReplaceOlderOnesAndSilentNodesExpire) {
   PeerTable peers("me");
   PeerReport report;
   report.node = "other";
--- a/tests/core/serving/fleet_exchange_test.cc
+++ b/tests/core/serving/fleet_exchange_test.cc
@@ -1,4 +1,5 @@
-// How old what nodes know of each other is, what it costs, and what the loss of aggregators does.
+// Fleet digests: how recent the nodes' information is, how many messages it takes, and what happens when aggregators
+// fail.
 #include "src/core/serving/fleet_exchange.h"
 
 #include <gtest/gtest.h>
@@ -17,21 +18,21 @@
   for (std::size_t node = 0; node < fleet.size(); ++node) EXPECT_EQ(fleet.sent(node), 0);
 }
 
-TEST(FleetExchangeTest, KnowledgeIsAsYoungInALargeFleetAsInASmallOne) {
+TEST(FleetExchangeTest, InformationIsAsRecentInALargeFleetAsInASmallOne) {
   for (const int per_zone : {4, 12, 60}) {
     FakeExchangeFleet fleet(5, per_zone, 1);
     fleet.Run(2s);
-    for (std::size_t node = 0; node < fleet.size(); ++node) EXPECT_EQ(fleet.Seen(node), 0);
+    for (std::size_t node = 0; node < fleet.size(); ++node) EXPECT_EQ(fleet.VisibleWork(node), 0);
     fleet.set_work(0, 7);
     fleet.set_work(fleet.size() - 1, 5);
-    // Three steps: to the aggregator, between the zones where aggregators are met by turns, and back.
+    // Three hops: to the aggregator, between zones (to one aggregator of a zone per round), and back.
     fleet.Run(820ms);
     for (std::size_t node = 1; node + 1 < fleet.size(); ++node) {
-      EXPECT_EQ(fleet.Seen(node), 12) << per_zone << " a zone, node " << node;
+      EXPECT_EQ(fleet.VisibleWork(node), 12) << per_zone << " a zone, node " << node;
       EXPECT_LE(fleet.at(node).ViewAge(fleet.now()), 1000ms);
     }
-    // A node does not count its own work as others'.
-    EXPECT_EQ(fleet.Seen(0), 5);
+    // A node does not count its own work as work of others.
+    EXPECT_EQ(fleet.VisibleWork(0), 5);
     EXPECT_EQ(fleet.at(1).View(fleet.now())->nodes, static_cast<int>(fleet.size()));
     EXPECT_NEAR(fleet.at(1).View(fleet.now())->demand[0].prefill_engines, 0.5 * static_cast<double>(fleet.size() - 1),
                 1e-6);
@@ -39,8 +40,9 @@
   }
 }
 
-TEST(FleetExchangeTest, ANodesOwnOutcomesAreNotTakenForOthers) {
-  // Counted twice, two failures at one node were four of all nodes and ejected an engine for the whole fleet's eyes.
+TEST(FleetExchangeTest, LocalOutcomesAreNotCountedAsThoseOfOthers) {
+  // If they were counted twice, two failures on one node would look like four over all nodes and eject an engine for
+  // the whole fleet.
   FleetExchange node(FleetExchangeParameters{}, {"a9", "a9", "a", 20, false}, kOneRegion);
   PeerReport own;
   own.node = "a9";
@@ -64,8 +66,8 @@
   EXPECT_EQ(node.View(Time{1100ms})->work[0].answers, 0);
 }
 
-TEST(FleetExchangeTest, OneOldReportDoesNotMakeAllKnowledgeOld) {
-  // A node that was killed leaves its last report behind for a second; what the others told is as young as ever.
+TEST(FleetExchangeTest, OneOldReportDoesNotMakeTheWholeDigestOld) {
+  // The last report of a killed node stays for a second; the reports of the others are as recent as before.
   FakeExchangeFleet fleet(2, 20, 1);
   fleet.Run(2s);
   const Duration before = fleet.at(10).ViewAge(fleet.now());
@@ -82,7 +84,7 @@
   }
 }
 
-TEST(FleetExchangeTest, WhenOneAggregatorIsLostNothingIsMissed) {
+TEST(FleetExchangeTest, LosingOneAggregatorLosesNoInformation) {
   FakeExchangeFleet fleet(3, 20, 1);
   fleet.Run(2s);
   fleet.set_up(0, false);
@@ -90,58 +92,58 @@
   fleet.Run(1200ms);
   for (std::size_t node = 1; node < fleet.size(); ++node) {
     if (node != 30) {
-      EXPECT_EQ(fleet.Seen(node), 4) << node;
+      EXPECT_EQ(fleet.VisibleWork(node), 4) << node;
     }
   }
 }
 
-// Three nodes see one end each; the sum is what counts.
-void NoteThreeEnds(FakeExchangeFleet& fleet, std::uint64_t request) {
+// Three nodes observe one crash each; the total is what counts.
+void RecordThreeCrashes(FakeExchangeFleet& fleet, std::uint64_t request) {
   const std::size_t third = fleet.size() / 3;
   for (std::size_t i = 0; i < 3; ++i) {
     fleet.ledger(i * third + third / 2).RecordCrash(request, EngineKey(i + 1), fleet.now(), fleet.now());
   }
 }
 
-TEST(FleetExchangeTest, EnginesThatEndedUnderARequestAreKnownToAllWithinContact) {
+TEST(FleetExchangeTest, EngineCrashesUnderARequestReachAllNodesInTime) {
   constexpr std::uint64_t kRequest = 7;
   for (const int per_zone : {4, 27, 98, 267}) {
     FakeExchangeFleet fleet(3, per_zone, 1);
     fleet.set_loss(0.1);
     fleet.Run(2s);
-    NoteThreeEnds(fleet, kRequest);
+    RecordThreeCrashes(fleet, kRequest);
     fleet.Run(1500ms);
     EXPECT_EQ(fleet.CountUninformed(kRequest, 3), 0) << per_zone << " a zone";
   }
 }
 
-TEST(FleetExchangeTest, TheyAreAlsoKnownWithinContactWhenTheAggregatorsOfAZoneAreLost) {
+TEST(FleetExchangeTest, EngineCrashesReachAllNodesInTimeWhenAZonesAggregatorsAreLost) {
   constexpr std::uint64_t kRequest = 7;
   FakeExchangeFleet fleet(3, 98, 1);
   fleet.Run(2s);
-  NoteThreeEnds(fleet, kRequest);
+  RecordThreeCrashes(fleet, kRequest);
   fleet.set_up(0, false);
   fleet.set_up(1, false);
   fleet.Run(2900ms);
   EXPECT_EQ(fleet.CountUninformed(kRequest, 3), 0);
 }
 
-TEST(FleetExchangeTest, WhenAllAggregatorsOfAZoneAreLostOthersTakeTheirPlace) {
+TEST(FleetExchangeTest, OthersReplaceAllLostAggregatorsOfAZone) {
   FakeExchangeFleet fleet(3, 20, 1);
   fleet.Run(2s);
   for (std::size_t node = 0; node < 4; ++node) fleet.set_up(node, false);
   fleet.set_work(30, 4);
-  // The silence that gives them up, twice where the next are down as well, and the ways.
+  // Time to detect the unresponsive aggregators, twice because their replacements are down as well, plus transmission.
   fleet.Run(4s);
   for (std::size_t node = 4; node < fleet.size(); ++node) {
     if (node != 30) {
-      EXPECT_EQ(fleet.Seen(node), 4) << node;
+      EXPECT_EQ(fleet.VisibleWork(node), 4) << node;
     }
   }
   EXPECT_EQ(fleet.at(10).View(fleet.now())->nodes, 56);
 }
 
-TEST(FleetExchangeTest, ACutOffZoneIsForgottenByTheOthersAndKnowsItself) {
+TEST(FleetExchangeTest, APartitionedZoneExpiresElsewhereAndStillKnowsItself) {
   FleetExchange node(FleetExchangeParameters{}, {"a0", "a0", "a", 200, false}, kOneRegion);
   PeerReport zone;
   zone.scope = ReportScope::kZone;
@@ -161,8 +163,8 @@
   EXPECT_EQ(node.View(Time{3s})->nodes, 1);
 }
 
-TEST(FleetExchangeTest, OnlyWhoIsAskedAggregates) {
-  // Seen on fcl-norte-large quiet-1: every node took its peers' ordinary reports for such, and all 295 sent digests
+TEST(FleetExchangeTest, OnlyNodesThatAreAskedAggregate) {
+  // Seen on fcl-norte-large quiet-1: every node aggregated its peers' ordinary reports, and all 295 sent digests
   // between the zones, 5.7 GB in a minute.
   FleetExchange node(FleetExchangeParameters{}, {"a9", "a9", "a", 20, false}, kOneRegion);
   PeerReport report;
@@ -176,16 +178,16 @@
   EXPECT_TRUE(node.aggregates(Time{1s}));
 }
 
-TEST(FleetExchangeTest, BytesBetweenZonesGrowWithTheZonesOnly) {
+TEST(FleetExchangeTest, TrafficBetweenZonesGrowsOnlyWithTheNumberOfZones) {
   FakeExchangeFleet fleet(5, 60, 1);
   fleet.Run(10s);
   int between_zones = 0;
   for (std::size_t node = 0; node < fleet.size(); ++node) between_zones += fleet.sent_to_other_zones(node);
   EXPECT_LE(between_zones,
-            5 * 2 * 4 * 5 * 10);  // Two aggregators of each of five zones, to four others, five a second.
+            5 * 2 * 4 * 5 * 10);  // Two aggregators in each of five zones, to four other zones, five times a second.
 }
 
-TEST(FleetExchangeTest, ADigestOfFewerNodesDoesNotReplaceAFullOne) {
+TEST(FleetExchangeTest, ADigestOfFewerNodesDoesNotReplaceACompleteOne) {
   FleetExchange node(FleetExchangeParameters{}, {"a9", "a9", "a", 20, false}, kOneRegion);
   PeerReport digest;
   digest.scope = ReportScope::kFleet;
@@ -198,17 +200,17 @@
   partial.nodes = 3;
   EXPECT_FALSE(node.Note(partial, Time{1100ms}));
   EXPECT_EQ(node.View(Time{1100ms})->nodes, 295);
-  EXPECT_TRUE(node.Note(partial, Time{2s}));  // Nothing fuller came.
+  EXPECT_TRUE(node.Note(partial, Time{2s}));  // No more complete digest arrived.
 }
 
-TEST(FleetExchangeTest, NewsOfKeptPartsPassOnceAndThenRest) {
+TEST(FleetExchangeTest, CacheUpdatesAreForwardedOnceAndThenSuppressed) {
   FakeExchangeFleet fleet(2, 12, 1);
   fleet.Run(2s);
   PeerReport report = fleet.Report(5);
   report.aggregate = true;
   report.kept = {{"e", 77}};
   FleetExchange& aggregator = fleet.at(fleet.at(0).aggregates(fleet.now()) ? 0 : 1);
-  int passed = 0;
+  int forwarded = 0;
   for (Time now = fleet.now(); now < fleet.now() + 4s; now += 200ms) {
     ++report.sequence;
     aggregator.Note(report, now);
@@ -218,15 +220,15 @@
     peers.reserve(20);
     for (int i = 0; i < 20; ++i) peers.push_back({"x" + std::to_string(i), "x", "x", 1, false});
     for (const FleetMessage& message : aggregator.Tick(now, own, peers)) {
-      if (message.report.scope == ReportScope::kFleet) passed += static_cast<int>(message.report.kept.size());
+      if (message.report.scope == ReportScope::kFleet) forwarded += static_cast<int>(message.report.kept.size());
     }
   }
-  EXPECT_GE(passed, 1);
-  EXPECT_LE(passed, 2);
+  EXPECT_GE(forwarded, 1);
+  EXPECT_LE(forwarded, 2);
 }
 
-// Whatever is lost or down, what a node believes others have under way was under way somewhere.
-RC_GTEST_PROP(FleetExchangeProperty, SumsNeverExceedWhatIsUnderWay, ()) {
+// Whatever is lost or down, work that a node attributes to others was really in flight somewhere.
+RC_GTEST_PROP(FleetExchangeProperty, SumsNeverExceedTheWorkInFlight, ()) {
   FakeExchangeFleet fleet(*rc::gen::inRange(1, 4), *rc::gen::inRange(6, 14), *rc::gen::arbitrary<std::uint64_t>());
   fleet.set_loss(*rc::gen::inRange(0, 4) * 0.1);
   int all = 0;
@@ -239,7 +241,7 @@
     const auto node = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(fleet.size())));
     fleet.set_up(node, *rc::gen::arbitrary<bool>());
     fleet.Run(600ms);
-    for (std::size_t at = 0; at < fleet.size(); ++at) RC_ASSERT(fleet.Seen(at) <= all);
+    for (std::size_t at = 0; at < fleet.size(); ++at) RC_ASSERT(fleet.VisibleWork(at) <= all);
   }
 }
 
