--- a/tests/core/serving/region_exchange_test.cc
+++ b/tests/core/serving/region_exchange_test.cc
@@ -1,5 +1,5 @@
-// What nodes of a fleet over several regions know of each other, what it costs between regions, and what a region's
-// cut or the loss of those that speak for it does.
+// Fleet digests across regions: what nodes know, how many messages are sent between regions, and what happens when a
+// region is disconnected or its representatives fail.
 #include <gtest/gtest.h>
 
 #include "tests/support/fake_exchange_fleet.h"
@@ -7,7 +7,7 @@
 namespace saltquay::serving {
 namespace {
 
-// Zones a and b lie in north, c and d in south, e and f in east.
+// Zones a and b are in north, c and d in south, e and f in east.
 constexpr int kZones = 6;
 const FakeExchangeFleet::Regions kRegions = {{"a", "north"}, {"b", "north"}, {"c", "south"},
                                              {"d", "south"}, {"e", "east"},  {"f", "east"}};
@@ -17,16 +17,17 @@
   explicit RegionExchangeTest(int per_zone = 12) : per_zone_(per_zone), fleet_(kZones, per_zone, 1, kRegions) {
     fleet_.Run(3s);
   }
-  std::size_t NodeOf(char zone, int place) const {
-    return static_cast<std::size_t>(zone - 'a') * static_cast<std::size_t>(per_zone_) + static_cast<std::size_t>(place);
+  std::size_t NodeOf(char zone, int index_in_zone) const {
+    return static_cast<std::size_t>(zone - 'a') * static_cast<std::size_t>(per_zone_) +
+           static_cast<std::size_t>(index_in_zone);
   }
   int all() const { return kZones * per_zone_; }
   static bool IsNorth(const PeerNode& node) { return kRegions.at(node.zone) == "north"; }
-  // That all nodes but the busy one that are `in` see so much work.
-  void ExpectSeen(int work, std::size_t busy, const std::function<bool(const PeerNode&)>& in) {
+  // Expects all nodes matching `in`, except the busy one, to see this much work.
+  void ExpectVisibleWork(int work, std::size_t busy, const std::function<bool(const PeerNode&)>& in) {
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
       if (i != busy && in(fleet_.node(i))) {
-        EXPECT_EQ(fleet_.Seen(i), work) << fleet_.node(i).node;
+        EXPECT_EQ(fleet_.VisibleWork(i), work) << fleet_.node(i).node;
       }
     }
   }
@@ -36,13 +37,13 @@
   FakeExchangeFleet fleet_;
 };
 
-TEST_F(RegionExchangeTest, AllIsKnownWithinHalfASecondInARegionAndWithinOneElsewhere) {
+TEST_F(RegionExchangeTest, WorkIsKnownWithinHalfASecondInTheRegionAndOneSecondElsewhere) {
   const std::size_t busy = NodeOf('a', 9);
   fleet_.set_work(busy, 7);
   fleet_.Run(820ms);
-  ExpectSeen(7, busy, IsNorth);
+  ExpectVisibleWork(7, busy, IsNorth);
   fleet_.Run(500ms);
-  ExpectSeen(7, busy, Any);
+  ExpectVisibleWork(7, busy, Any);
   for (std::size_t i = 0; i < fleet_.size(); ++i) {
     EXPECT_EQ(fleet_.at(i).View(fleet_.now())->nodes, all()) << i;
     EXPECT_LE(fleet_.at(i).ViewAge(fleet_.now()), 1000ms) << i;
@@ -57,40 +58,40 @@
   fleet_.Run(std::chrono::seconds(kSeconds));
   int across = 0;
   for (std::size_t i = 0; i < fleet_.size(); ++i) across += fleet_.sent_to_other_regions(i) - before[i];
-  // Two region_representatives of each of three regions to two others, 2.5 a second; a tenth more for what the ticks do
-  // not hit.
+  // Two representatives of each of three regions send to two others, 2.5 times a second; the bound leaves a tenth extra
+  // for digests that do not align with the ticks.
   EXPECT_LE(across, 3 * 2 * 2 * 3 * kSeconds);
   EXPECT_GT(across, 0);
 }
 
-TEST_F(RegionExchangeTest, ARegionThatIsCutOffKnowsItselfAndIsForgottenElsewhere) {
+TEST_F(RegionExchangeTest, APartitionedRegionStillKnowsItselfAndExpiresElsewhere) {
   const std::size_t busy = NodeOf('a', 9);
   fleet_.set_work(busy, 7);
-  fleet_.set_cut([](const PeerNode& from, const PeerNode& to) { return IsNorth(from) != IsNorth(to); });
+  fleet_.set_partition([](const PeerNode& from, const PeerNode& to) { return IsNorth(from) != IsNorth(to); });
   fleet_.Run(4s);
-  ExpectSeen(7, busy, IsNorth);
-  ExpectSeen(0, busy, [](const PeerNode& node) { return !IsNorth(node); });
+  ExpectVisibleWork(7, busy, IsNorth);
+  ExpectVisibleWork(0, busy, [](const PeerNode& node) { return !IsNorth(node); });
   EXPECT_EQ(fleet_.at(NodeOf('b', 5)).View(fleet_.now())->nodes, 2 * per_zone_);
   EXPECT_EQ(fleet_.at(NodeOf('c', 5)).View(fleet_.now())->nodes, 4 * per_zone_);
-  fleet_.set_cut(nullptr);
+  fleet_.set_partition(nullptr);
   fleet_.Run(1500ms);
-  ExpectSeen(7, busy, Any);
+  ExpectVisibleWork(7, busy, Any);
 }
 
-TEST_F(RegionExchangeTest, AOneWayCutTakesNothingFromTheOtherDirection) {
+TEST_F(RegionExchangeTest, AOneWayPartitionDoesNotAffectTheOtherDirection) {
   fleet_.set_work(NodeOf('a', 9), 7);
   fleet_.set_work(NodeOf('c', 9), 5);
-  // The south does not hear the north.
-  fleet_.set_cut(
+  // The south does not receive from the north.
+  fleet_.set_partition(
       [](const PeerNode& from, const PeerNode& to) { return IsNorth(from) && kRegions.at(to.zone) == "south"; });
   fleet_.Run(4s);
-  EXPECT_EQ(fleet_.Seen(NodeOf('b', 5)), 12);
-  EXPECT_EQ(fleet_.Seen(NodeOf('d', 5)), 5);
-  EXPECT_EQ(fleet_.Seen(NodeOf('e', 5)), 12);
+  EXPECT_EQ(fleet_.VisibleWork(NodeOf('b', 5)), 12);
+  EXPECT_EQ(fleet_.VisibleWork(NodeOf('d', 5)), 5);
+  EXPECT_EQ(fleet_.VisibleWork(NodeOf('e', 5)), 12);
 }
 
-TEST_F(RegionExchangeTest, WhenOneThatSpeaksForARegionIsLostNothingIsMissed) {
-  // The first two of each zone have the widest links and aggregate.
+TEST_F(RegionExchangeTest, LosingOneRegionRepresentativeLosesNoInformation) {
+  // The first two nodes of each zone have the highest link bandwidth and aggregate.
   for (const int lost : {0, 1}) {
     fleet_.set_up(NodeOf('a', lost), false);
     fleet_.set_work(NodeOf('b', 9), 3 + lost);
@@ -98,12 +99,12 @@
       fleet_.Run(200ms);
       EXPECT_GE(fleet_.at(NodeOf('e', 5)).View(fleet_.now())->nodes, all() - 2 * per_zone_ / 2) << step;
     }
-    EXPECT_EQ(fleet_.Seen(NodeOf('e', 5)), 3 + lost);
+    EXPECT_EQ(fleet_.VisibleWork(NodeOf('e', 5)), 3 + lost);
     fleet_.Run(3s);
   }
 }
 
-TEST_F(RegionExchangeTest, WhenAllAggregatorsOfARegionAreLostOthersTakeTheirPlace) {
+TEST_F(RegionExchangeTest, OthersReplaceAllLostAggregatorsOfARegion) {
   for (const char zone : {'a', 'b'}) {
     for (int i = 0; i < 2; ++i) fleet_.set_up(NodeOf(zone, i), false);
   }
@@ -113,13 +114,13 @@
   for (std::size_t i = 0; i < fleet_.size(); ++i) {
     const bool lost = i % static_cast<std::size_t>(per_zone_) < 2 && IsNorth(fleet_.node(i));
     if (i != busy && !lost) {
-      EXPECT_EQ(fleet_.Seen(i), 4) << fleet_.node(i).node;
+      EXPECT_EQ(fleet_.VisibleWork(i), 4) << fleet_.node(i).node;
     }
   }
   EXPECT_EQ(fleet_.at(NodeOf('c', 5)).View(fleet_.now())->nodes, all() - 4);
 }
 
-TEST_F(RegionExchangeTest, EnginesThatEndedUnderARequestAreKnownInAllRegionsThoughMessagesAreLost) {
+TEST_F(RegionExchangeTest, EngineCrashesUnderARequestReachAllRegionsDespiteMessageLoss) {
   constexpr std::uint64_t kRequest = 7;
   fleet_.set_loss(0.1);
   for (const char zone : {'a', 'c', 'e'}) {
@@ -130,7 +131,7 @@
   EXPECT_EQ(fleet_.CountUninformed(kRequest, 3), 0);
 }
 
-TEST(RegionExchangeLossTest, SumsNeverExceedWhatIsUnderWayThoughMessagesAreLost) {
+TEST(RegionExchangeLossTest, SumsNeverExceedTheWorkInFlightDespiteMessageLoss) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     FakeExchangeFleet fleet(kZones, 4, seed, kRegions);
     fleet.set_loss(0.2);
@@ -138,7 +139,7 @@
     for (int step = 0; step < 10; ++step) {
       fleet.set_up(static_cast<std::size_t>(step), step % 3 == 0);
       fleet.Run(400ms);
-      for (std::size_t i = 0; i < fleet.size(); ++i) EXPECT_LE(fleet.Seen(i), static_cast<int>(fleet.size()));
+      for (std::size_t i = 0; i < fleet.size(); ++i) EXPECT_LE(fleet.VisibleWork(i), static_cast<int>(fleet.size()));
     }
   }
 }
--- a/tests/core/serving/region_role_controller_test.cc
+++ b/tests/core/serving/region_role_controller_test.cc
@@ -1,4 +1,4 @@
-// Where the fleet lies in several regions, each gets the split of stages that its own callers need.
+// Role planning in a fleet of several regions: each region gets the split of stages that its own clients need.
 #include <gtest/gtest.h>
 
 #include "src/core/serving/role_controller.h"
@@ -14,7 +14,7 @@
     service.language = LanguageEngineTraits{64, 400000, 18432, 370000, 5s, 2300ms};
     config_.services = {service};
   }
-  // So many engines of both stages in the zone.
+  // Adds engines of both stages to the zone.
   void Add(const std::string& zone, int prefill, int decode) {
     for (int i = 0; i < prefill + decode; ++i) {
       EngineRecord record;
@@ -32,12 +32,12 @@
     });
     return count;
   }
-  // Ticks, with engines that do at once what they are ordered.
+  // Ticks; engines carry out their orders immediately.
   void Run(Duration time) {
     for (const Time end = now_ + time; now_ < end; now_ += 50ms) {
       std::vector<RoleAction> actions;
       controller_.OnTick(now_, true, config_, demand_, engines_, actions);
-      for (std::size_t i = 0; i < actions.size(); ++i) Carry(RoleAction(actions[i]), actions);
+      for (std::size_t i = 0; i < actions.size(); ++i) CarryOut(RoleAction(actions[i]), actions);
       const LeaseStep step = lease_.wanted(now_) ? lease_.Next(now_, 300ms) : LeaseStep::kNone;
       if (step == LeaseStep::kRead) lease_.OnRead(LeaseRecord{}, now_);
       if (step == LeaseStep::kWrite) lease_.OnWritten(++revision_);
@@ -53,7 +53,7 @@
   RoleController controller_{RoleControllerParameters{}, lease_, topology_, Time{0s}};
 
  private:
-  void Carry(const RoleAction& action, std::vector<RoleAction>& actions) {
+  void CarryOut(const RoleAction& action, std::vector<RoleAction>& actions) {
     if (const auto* read = std::get_if<ReadEngineState>(&action)) {
       const EngineStage stage = engines_.Find(read->engine_id)->record.stage;
       controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{stage, false, 1}, engines_, actions);
@@ -70,28 +70,28 @@
   std::int64_t revision_ = 20;
 };
 
-TEST_F(RegionRolesTest, EachRegionGetsTheSplitThatItsCallersNeed) {
+TEST_F(RegionRolesTest, EachRegionGetsTheSplitThatItsClientsNeed) {
   Add("a", 5, 5);
   Add("b", 5, 5);
-  // Together as much is read as answered: a plan for both would change nothing.
+  // The total prefill and decode demand is equal: one plan for both regions would change nothing.
   demand_ = {ServiceDemand{"s", 7, 1, 0, 1, "north"}, ServiceDemand{"s", 1, 7, 0, 1, "south"}};
   Run(40s);
   EXPECT_GE(CountPrefill("a"), 7);
   EXPECT_LE(CountPrefill("b"), 3);
 }
 
-TEST_F(RegionRolesTest, ARegionThatNeedsLessThanAnEngineOfAStageKeepsNoMoreThanItsPart) {
+TEST_F(RegionRolesTest, ARegionWithLittleDemandForAStageKeepsOnlyItsShareOfTheMinimum) {
   Add("a", 5, 5);
   Add("b", 5, 5);
   demand_ = {ServiceDemand{"s", 8, 0.05, 0, 1, "north"}, ServiceDemand{"s", 8, 0.05, 0, 1, "south"}};
   Run(60s);
-  // Both regions together keep three that answer, as a fleet of one region does.
+  // The two regions together keep three decode engines, as a fleet of one region does.
   for (const std::string zone : {"a", "b"}) {
     EXPECT_EQ(CountPrefill(zone), 8) << zone;
   }
 }
 
-TEST_F(RegionRolesTest, RegionsWithAFewEnginesArePlannedTogether) {
+TEST_F(RegionRolesTest, RegionsWithFewEnginesArePlannedTogether) {
   Add("a", 3, 0);
   Add("b", 0, 3);
   demand_ = {ServiceDemand{"s", 1.5, 0.1, 0, 1, "north"}, ServiceDemand{"s", 0.1, 1.5, 0, 1, "south"}};
@@ -100,11 +100,11 @@
   EXPECT_EQ(CountPrefill("b"), 0);
 }
 
-TEST_F(RegionRolesTest, WhoseLeaseIsLostOrdersInNoRegion) {
+TEST_F(RegionRolesTest, WithoutTheLeaseNoOrdersAreSentInAnyRegion) {
   Add("a", 5, 5);
   Add("b", 5, 5);
   demand_ = {ServiceDemand{"s", 7, 1, 0, 1, "north"}, ServiceDemand{"s", 1, 7, 0, 1, "south"}};
-  // Another node holds the lease and renews it: the other side of a cut between the regions.
+  // Another node holds the lease and renews it, as on the other side of a partition between the regions.
   for (int i = 0; i < 200; ++i) {
     lease_.OnPeerRecord(LeaseRecord{"other", "2.2.2.2:1", 9, 0, 100 + i}, now_);
     std::vector<RoleAction> actions;
--- a/tests/core/serving/role_controller_test.cc
+++ b/tests/core/serving/role_controller_test.cc
@@ -1,4 +1,4 @@
-// The split of roles, and the order of one change.
+// Role planner, and the steps of a stage change.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -7,7 +7,7 @@
 namespace saltquay::serving {
 namespace {
 
-TEST(RolePlannerTest, MoreReadingWantsMorePrefillEngines) {
+TEST(RolePlannerTest, MorePrefillDemandNeedsMorePrefillEngines) {
   const RolePlannerParameters parameters;
   double before = 0;
   for (const double prefill : {0.5, 1.0, 2.0, 4.0}) {
@@ -31,11 +31,12 @@
     RC_ASSERT(prefill >= 1);
     RC_ASSERT(decode >= 1);
   }
-  RC_FAIL("the plan does not come to rest");
+  RC_FAIL("the plan does not converge");
 }
 
 TEST(RolePlannerTest, ALargeServiceChangesSeveralEnginesAtATime) {
-  // fcl-norte-grown quiet-1: 35 engines read while the ideal was 60 and more, for one changed every four seconds.
+  // Seen on fcl-norte-grown quiet-1: 35 prefill engines while the ideal was 60 and more, because one engine was changed
+  // every four seconds.
   const RolePlannerParameters parameters;
   const auto before_demand = PlanStageChange(parameters, {"s", 0, 0}, {33, 57, 0, 0, 90});
   ASSERT_TRUE(before_demand);
@@ -48,9 +49,9 @@
   EXPECT_EQ(PlanStageChange(parameters, {"s", 4, 0.5}, {4, 5, 0, 0, 9})->engines, 1);
 }
 
-// Engines of six places, two thirds of which read: fifteen that answer have 90 places for streams of seconds, and the
-// more urgent displace the others again and again.
-TEST(RolePlannerTest, BeforeAnyDemandMoreEnginesOfFewPlacesAnswer) {
+// With six slots per engine and two thirds of the engines for prefill, 15 decode engines have 90 slots for streams that
+// last seconds, and urgent requests preempt the others again and again.
+TEST(RolePlannerTest, WithoutDemandEnginesWithFewSlotsNeedMoreDecodeEngines) {
   const RolePlannerParameters parameters;
   EXPECT_DOUBLE_EQ(InitialPrefillShare(parameters, 0), parameters.initial_prefill_share);
   EXPECT_DOUBLE_EQ(InitialPrefillShare(parameters, 24), parameters.initial_prefill_share);
@@ -58,13 +59,13 @@
   EXPECT_LT(InitialPrefillShare(parameters, 16), parameters.initial_prefill_share);
   EXPECT_NEAR(InitialPrefillShare(parameters, 6), 0.40, 0.01);
   StageCounts counts{18, 27, 0, 0, 45};
-  counts.places = 6;
+  counts.slots_per_engine = 6;
   EXPECT_FALSE(PlanStageChange(parameters, {"s", 0, 0}, counts));
-  counts.places = 24;
+  counts.slots_per_engine = 24;
   EXPECT_EQ(PlanStageChange(parameters, {"s", 0, 0}, counts)->stage, EngineStage::kPrefill);
 }
 
-TEST(RolePlannerTest, ChangesOnTheWayCountAsDone) {
+TEST(RolePlannerTest, ChangesInProgressCountAsDone) {
   const RolePlannerParameters parameters;
   const double ideal = IdealPrefillEngines(parameters, {"s", 40, 5}, 90);
   const int missing = static_cast<int>(ideal) - 35;
@@ -88,7 +89,7 @@
     record.stage = stage;
     engines_.Update(record);
   }
-  // Ticks until an action of type T comes, answering the lease's calls.
+  // Ticks until there is an action of type T, responding to the lease's calls.
   template <typename T>
   std::optional<T> TickUntil(Duration limit) {
     const Time end = now_ + limit;
@@ -106,7 +107,7 @@
     return std::nullopt;
   }
 
-  // How long no node sends new work to the engine; zero: it is not held.
+  // How long no node sends new requests to the engine; zero if it is not held.
   Duration HoldLeft(const std::string& engine_id) const {
     for (const EngineHold& hold : controller_.Holds(now_)) {
       if (hold.engine_id == engine_id) return hold.left;
@@ -139,7 +140,8 @@
 }
 
 TEST_F(ControllerTest, AChangingEngineIsHeldUntilItsRecordShowsTheStage) {
-  // First try on the bench: other nodes handed over to engines that were changing (425k tokens read for nothing).
+  // Found in the first benchmark run: other nodes handed prompts over to engines that were changing (425k tokens
+  // processed in vain).
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
   std::vector<RoleAction> actions;
@@ -152,7 +154,7 @@
   EXPECT_EQ(HoldLeft(read->engine_id), 0s);
 }
 
-TEST_F(ControllerTest, SeveralEnginesOfALargeServiceAreOnTheWayTogether) {
+TEST_F(ControllerTest, SeveralEnginesOfALargeServiceChangeAtOnce) {
   for (int i = 6; i < 60; ++i) Add("d" + std::to_string(i), EngineStage::kDecode);
   const auto first = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(first);
@@ -160,8 +162,9 @@
   EXPECT_LE(controller_.Holds(now_).size(), 63U / 3);
 }
 
-TEST_F(ControllerTest, UnderLoadEnginesThatAreOutForAMomentChangeNothing) {
-  // Two readers were turned while the engines that answer were out for a second, and both stages were short then.
+TEST_F(ControllerTest, BriefEjectionsUnderLoadChangeNothing) {
+  // Guards against changing two prefill engines while the decode engines are ejected for a second, which leaves both
+  // stages short.
   demand_ = {ServiceDemand{"s", 2.0, 3.0}};
   ASSERT_FALSE(TickUntil<ReadEngineState>(4s));
   for (int round = 0; round < 3; ++round) {
@@ -172,23 +175,24 @@
   EXPECT_TRUE(TickUntil<ReadEngineState>(6s));
 }
 
-TEST_F(ControllerTest, EnginesThatAreBackBeforeAChangeIsThroughChangeNothing) {
-  // All that answer were out for two seconds: three readers were turned, each away for as long as a change takes.
+TEST_F(ControllerTest, EjectionsShorterThanAChangeChangeNothing) {
+  // Guards against changing three prefill engines while all decode engines are ejected for two seconds; each change
+  // takes as long as that.
   demand_ = {ServiceDemand{"s", 2.0, 3.0}};
   ASSERT_FALSE(TickUntil<ReadEngineState>(4s));
   for (int i = 0; i < 6; ++i) engines_.Find("d" + std::to_string(i))->ejected_until = now_ + 2200ms;
   EXPECT_FALSE(TickUntil<ReadEngineState>(4s));
 }
 
-TEST_F(ControllerTest, EnginesThatAreGoneAreReplacedWithoutThatWait) {
+TEST_F(ControllerTest, RemovedEnginesAreReplacedWithoutThatDelay) {
   demand_ = {ServiceDemand{"s", 2.0, 3.0}};
   ASSERT_FALSE(TickUntil<ReadEngineState>(4s));
   for (int i = 0; i < 5; ++i) engines_.Remove("d" + std::to_string(i));
   EXPECT_TRUE(TickUntil<ReadEngineState>(1500ms));
 }
 
-TEST_F(ControllerTest, BeforeAnyDemandAnAcceptedOrderDoesNotHoldTheNextBack) {
-  // Engines that come while nothing is asked are put to their stage at once, not after the pause between changes.
+TEST_F(ControllerTest, WithoutDemandAnAcceptedOrderDoesNotDelayTheNext) {
+  // Engines that are added while there is no demand get their stage at once, not after the pause between changes.
   const auto first = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(first);
   std::vector<RoleAction> actions;
@@ -199,7 +203,7 @@
   EXPECT_TRUE(TickUntil<ReadEngineState>(2s));
 }
 
-TEST_F(ControllerTest, NoOrderOnceTheLeaseHasRunOut) {
+TEST_F(ControllerTest, NoOrderAfterTheLeaseExpired) {
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
   std::vector<RoleAction> actions;
@@ -208,7 +212,7 @@
   EXPECT_TRUE(actions.empty());
 }
 
-TEST_F(ControllerTest, AnUnansweredOrderKeepsTheEngineFromAnother) {
+TEST_F(ControllerTest, AnEngineWithAnUnansweredOrderGetsNoOther) {
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
   std::vector<RoleAction> actions;
@@ -220,14 +224,15 @@
   EXPECT_TRUE(!next || next->engine_id != read->engine_id);
 }
 
-TEST_F(ControllerTest, EnginesThatAreOutDoNotCountAsKept) {
-  // Own day sick_engines --seed 3: the last decode engine that worked was turned, since dead ones counted beside it.
+TEST_F(ControllerTest, EjectedEnginesDoNotCountTowardsTheMinimum) {
+  // Found by the simulated day sick_engines --seed 3: the last working decode engine was changed, because ejected ones
+  // were counted beside it.
   demand_ = {ServiceDemand{"s", 9.0, 0.5}};
   for (int i = 0; i < 4; ++i) engines_.Find("d" + std::to_string(i))->ejected_until = now_ + 60s;
   EXPECT_FALSE(TickUntil<ReadEngineState>(5s));
 }
 
-TEST_F(ControllerTest, AStageWithoutEnginesDoesNotWaitForTheChangeBefore) {
+TEST_F(ControllerTest, AStageWithoutEnginesDoesNotWaitForAnEarlierChange) {
   for (int i = 0; i < 6; ++i) Add("d" + std::to_string(i), EngineStage::kPrefill);
   engines_.Find("d0")->changing_until = now_ + 60s;
   demand_ = {ServiceDemand{"s", 2.0, 1.0}};
@@ -235,9 +240,9 @@
   EXPECT_TRUE(read);
 }
 
-TEST_F(ControllerTest, AnOrderThatEndsWhoCarriesItOutIsNotGivenToOneAfterTheOther) {
+TEST_F(ControllerTest, AnOrderThatCrashesEnginesIsNotRepeatedOnOthers) {
   demand_ = {ServiceDemand{"s", 4.0, 0.5}};
-  int ended = 0;
+  int crashed = 0;
   const Time end = now_ + 60s;
   while (now_ < end) {
     const auto read = TickUntil<ReadEngineState>(end - now_);
@@ -248,11 +253,11 @@
     controller_.OnOrderAnswered(now_, read->engine_id, OrderOutcome::kAccepted, engines_, actions);
     engines_.Remove(read->engine_id);
     Add(read->engine_id + "+", stage);
-    ++ended;
+    ++crashed;
   }
   // Three, and one more after the pause of 30 s.
-  EXPECT_GE(ended, 3);
-  EXPECT_LE(ended, 5);
+  EXPECT_GE(crashed, 3);
+  EXPECT_LE(crashed, 5);
 }
 
 TEST_F(ControllerTest, NoPlanForNodesThatAreNotCandidates) {
--- a/tests/support/core_fixture.h
+++ b/tests/support/core_fixture.h
@@ -12,7 +12,7 @@
   return NodeIncarnation{NodeId{node}, BootId{boot}};
 }
 
-// A context with a settable clock that keeps what components emit.
+// A context with a settable clock that collects the actions that components emit.
 class TestContext {
  public:
   explicit TestContext(std::uint32_t node = 1, const Parameters& parameters = Parameters{}, std::uint64_t seed = 7)
--- a/tests/support/fake_exchange_fleet.h
+++ b/tests/support/fake_exchange_fleet.h
@@ -1,4 +1,4 @@
-// Nodes of a fleet that tell each other their work, without sockets.
+// Nodes of a fleet that exchange reports and digests, without sockets.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace saltquay::serving {
 
-// Nodes in zones that exchange messages in virtual time; messages may be lost.
+// Nodes in several zones that exchange messages in virtual time; messages may be lost.
 class FakeExchangeFleet {
  public:
   using Regions = std::map<std::string, std::string, std::less<>>;
@@ -38,25 +38,27 @@
   std::size_t size() const { return nodes_.size(); }
   FleetExchange& at(std::size_t node) { return *exchanges_[node]; }
   CrashLedger& ledger(std::size_t node) { return *ledgers_[node]; }
-  // Nodes that are up and do not know as many engines to have ended under the request.
-  int CountUninformed(std::uint64_t request, int ends) {
+  // Number of running nodes that know of fewer than `expected_crashes` engine crashes under the request.
+  int CountUninformed(std::uint64_t request, int expected_crashes) {
     int count = 0;
     for (std::size_t node = 0; node < size(); ++node) {
-      if (up_[node] && ledger(node).Ends(request) < ends) ++count;
+      if (up_[node] && ledger(node).Ends(request) < expected_crashes) ++count;
     }
     return count;
   }
   void set_work(std::size_t node, int work) { work_[node] = work; }
   void set_up(std::size_t node, bool up) { up_[node] = up; }
   void set_loss(double loss) { loss_ = loss; }
-  // What goes from a node to another is lost where it says so.
-  void set_cut(std::function<bool(const PeerNode& from, const PeerNode& to)> cut) { cut_ = std::move(cut); }
+  // Messages between nodes are lost if `is_partitioned` returns true for them.
+  void set_partition(std::function<bool(const PeerNode& from, const PeerNode& to)> is_partitioned) {
+    partition_ = std::move(is_partitioned);
+  }
   const PeerNode& node(std::size_t index) const { return nodes_[index]; }
   Time now() const { return now_; }
   int sent(std::size_t node) const { return sent_[node]; }
-  // The part of them that went to other zones.
+  // Of these, messages to other zones.
   int sent_to_other_zones(std::size_t node) const { return sent_far_[node]; }
-  // The part of them that went to other regions.
+  // Of these, messages to other regions.
   int sent_to_other_regions(std::size_t node) const { return sent_across_[node]; }
 
   void Run(Duration time) {
@@ -67,8 +69,8 @@
       }
     }
   }
-  // What node `node` takes to be under way at the engine, its own aside.
-  int Seen(std::size_t node, const EngineKey& engine = "e") {
+  // Work of other nodes on the engine, as seen by the node.
+  int VisibleWork(std::size_t node, const EngineKey& engine = "e") {
     const PeerReport* view = at(node).View(now_);
     if (view == nullptr) return -1;
     for (const EngineWork& work : view->work) {
@@ -107,7 +109,7 @@
     if (random_.Unit() < loss_) return;
     for (std::size_t node = 0; node < size(); ++node) {
       if (nodes_[node].address != address || !up_[node]) continue;
-      if (cut_ && cut_(from, nodes_[node])) continue;
+      if (partition_ && partition_(from, nodes_[node])) continue;
       ledger(node).Merge(report.crashes, now_);
       at(node).Note(report, now_);
     }
@@ -115,7 +117,7 @@
 
   Random random_;
   double loss_ = 0;
-  std::function<bool(const PeerNode&, const PeerNode&)> cut_;
+  std::function<bool(const PeerNode&, const PeerNode&)> partition_;
   Time now_{1s};
   std::vector<PeerNode> nodes_;
   std::vector<std::unique_ptr<Topology>> topologies_;
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -1,4 +1,4 @@
-// A server on loopback whose behaviour a test scripts, connection by connection.
+// A server on loopback whose behaviour is scripted by the test for each connection.
 #pragma once
 
 #include <arpa/inet.h>
@@ -16,7 +16,7 @@
 
 namespace saltquay::testing {
 
-// One accepted connection, with blocking calls that give up after two seconds.
+// An accepted connection with blocking calls that time out after two seconds.
 class ScriptedConnection {
  public:
   explicit ScriptedConnection(int socket) : socket_(socket) {
@@ -27,7 +27,7 @@
   ScriptedConnection(const ScriptedConnection&) = delete;
   ScriptedConnection& operator=(const ScriptedConnection&) = delete;
 
-  // Reads until `mark` has come, and returns all that came.
+  // Reads until `mark` was received, and returns everything received.
   std::string ReadUntil(const std::string& mark) {
     std::string text;
     char byte = 0;
@@ -35,7 +35,7 @@
     return text;
   }
   std::string ReadHead() { return ReadUntil("\r\n\r\n"); }
-  // Reads until the peer ends or two seconds pass.
+  // Reads until the peer closes the connection or two seconds pass.
   std::string ReadToEnd() {
     std::string text;
     char byte = 0;
@@ -61,7 +61,7 @@
  public:
   using Script = std::function<void(ScriptedConnection&)>;
 
-  // The first connection plays the first script, and so on; the last repeats.
+  // The first connection runs the first script, and so on; the last script repeats.
   explicit ScriptedServer(std::vector<Script> scripts) : scripts_(std::move(scripts)) {
     listener_ = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
@@ -84,7 +84,7 @@
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   int accepted() const { return accepted_; }
-  // From now on connections are refused, as of a process that ended.
+  // Refuses further connections, as if the process had ended.
   void StopListening() {
     if (stopping_.exchange(true)) return;
     shutdown(listener_, SHUT_RDWR);
--- a/tests/support/serving_fixture.h
+++ b/tests/support/serving_fixture.h
@@ -1,4 +1,4 @@
-// Drives a ServingCore by hand: events in, actions out, a clock that the test moves.
+// Drives a ServingCore directly: events in, actions out, with a clock controlled by the test.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -113,7 +113,7 @@
     Send(AttemptHeadReceived{start.flow, start.attempt,
                              EngineResponseHead{status, not_executed, !not_executed, std::nullopt}});
   }
-  // The whole answer of an attempt.
+  // Sends the complete response to an attempt.
   void Answer(const StartAttempt& start, int status, bool not_executed = false, const std::string& handle = "") {
     Head(start, status, not_executed);
     std::vector<Action> first = actions_;
--- a/tests/support/serving_fleet.cc
+++ b/tests/support/serving_fleet.cc
@@ -7,14 +7,14 @@
 
 constexpr Duration kLinkDelay = 1ms;
 constexpr Duration kReportInterval = 400ms;
-constexpr double kGreyErrors = 0.6;
+constexpr double kErrorShare = 0.6;
 constexpr double kResetShare = 0.8;
 constexpr int kSlowFactor = 6;
-// From the first token of a run to the end of its engine, where the run ends it.
-constexpr Duration kFatalWork = 50ms;
-// An engine that ended stands in the platform's records until it has been silent for three heartbeats.
-constexpr Duration kRecordKept = 3600ms;
-constexpr std::uint64_t kFatalFingerprint = 4711;
+// From the first token of a poison request to the crash of its engine.
+constexpr Duration kPoisonRunTime = 50ms;
+// The platform keeps the record of a crashed engine until it has missed three heartbeats.
+constexpr Duration kRecordRetention = 3600ms;
+constexpr std::uint64_t kPoisonFingerprint = 4711;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 
 void ServingFleet::Begin() {
   std::vector<EngineRecord> records;
-  for (const auto& [id, world] : engines_) records.push_back(world.engine.record);
+  for (const auto& [id, simulated] : engines_) records.push_back(simulated.engine.record);
   for (int node = 0; node < static_cast<int>(nodes_.size()); ++node) {
     Send(node, ConfigurationChanged{config_});
     Send(node, EnginesReplaced{records});
@@ -40,13 +40,13 @@
   nodes_[node]->BeginAfterRestart(now_);
   const auto is_of_node = [node](const auto& key) { return key.first == node; };
   std::erase_if(cancelled_, is_of_node);
-  for (auto& [id, world] : engines_) {
-    std::erase_if(world.waiting, [node](const Call& call) { return call.node == node; });
-    std::erase_if(world.under_way, [&](const auto& entry) { return is_of_node(entry.first); });
+  for (auto& [id, simulated] : engines_) {
+    std::erase_if(simulated.waiting, [node](const Call& call) { return call.node == node; });
+    std::erase_if(simulated.outstanding, [&](const auto& entry) { return is_of_node(entry.first); });
   }
   std::vector<EngineRecord> records;
-  for (const auto& [id, world] : engines_) {
-    if (!world.ended) records.push_back(world.engine.record);
+  for (const auto& [id, simulated] : engines_) {
+    if (!simulated.crashed) records.push_back(simulated.engine.record);
   }
   Send(node, ConfigurationChanged{config_});
   Send(node, EnginesReplaced{records});
@@ -67,9 +67,9 @@
       arrived.facts.host = "h.example";
       arrived.facts.path = "/" + route + "/x";
       arrived.facts.prompt = facts;
-      arrived.facts.fingerprint = kFatalFingerprint + arrived.flow;
+      arrived.facts.fingerprint = kPoisonFingerprint + arrived.flow;
       requests_.push_back(now_);
-      began_[{node, arrived.flow}] = now_;
+      arrived_at_[{node, arrived.flow}] = now_;
       Send(node, arrived);
     });
   }
@@ -85,18 +85,18 @@
       arrived.facts.host = "h.example";
       arrived.facts.path = "/" + route + "/x";
       arrived.facts.prompt = prompt;
-      arrived.facts.fingerprint = kFatalFingerprint;
-      fatal_.insert({node, arrived.flow});
+      arrived.facts.fingerprint = kPoisonFingerprint;
+      poison_.insert({node, arrived.flow});
       Send(node, arrived);
     });
   }
 }
 
 void ServingFleet::RunUntil(Time end) {
-  while (!agenda_.empty() && agenda_.begin()->first <= end) {
-    now_ = std::max(now_, agenda_.begin()->first);
-    const std::function<void()> step = std::move(agenda_.begin()->second);
-    agenda_.erase(agenda_.begin());
+  while (!events_.empty() && events_.begin()->first <= end) {
+    now_ = std::max(now_, events_.begin()->first);
+    const std::function<void()> step = std::move(events_.begin()->second);
+    events_.erase(events_.begin());
     step();
   }
   now_ = end;
@@ -105,7 +105,7 @@
 void ServingFleet::Send(int node, const Event& event) {
   std::vector<Action> actions;
   nodes_[node]->OnEvent(now_, event, actions);
-  Carry(node, actions);
+  Perform(node, actions);
   Wake(node);
 }
 
@@ -118,12 +118,12 @@
   });
 }
 
-void ServingFleet::End(int node, FlowId flow, int* count) {
+void ServingFleet::FinishRequest(int node, FlowId flow, int* count) {
   ++*count;
-  began_.erase({node, flow});
+  arrived_at_.erase({node, flow});
 }
 
-void ServingFleet::Carry(int node, const std::vector<Action>& actions) {
+void ServingFleet::Perform(int node, const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* start = std::get_if<StartAttempt>(&action)) {
       At(now_ + kLinkDelay, [this, node, start = *start] { Arrive(node, start); });
@@ -131,22 +131,22 @@
       At(now_ + 1us, [this, node] { ReportCrashes(node); });
     } else if (const auto* check = std::get_if<ProbeEngine>(&action)) {
       At(now_ + 2 * kLinkDelay, [this, node, id = check->engine_id] {
-        const bool ended = engines_.at(id).ended;
-        Send(node, EngineProbed{id, ended ? EngineProbeOutcome::kRefused : EngineProbeOutcome::kAccepted});
+        const bool crashed = engines_.at(id).crashed;
+        Send(node, EngineProbed{id, crashed ? EngineProbeOutcome::kRefused : EngineProbeOutcome::kAccepted});
       });
     } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       cancelled_.insert({node, cancel->attempt});
     } else if (const auto* own = std::get_if<SendLocalReply>(&action)) {
-      End(node, own->flow, own->status == 503 ? &refused_ : &failed_);
+      FinishRequest(node, own->flow, own->status == 503 ? &refused_ : &failed_);
     } else if (const auto* relay = std::get_if<BeginRelay>(&action)) {
-      const Duration took = now_ - began_[{node, relay->flow}];
-      if (took <= config_.FindRoute("h.example", "/chat/x")->objective) ++in_time_;
-    } else if (const auto* ended = std::get_if<EndRelay>(&action)) {
-      End(node, ended->flow, &answered_);
+      const Duration took = now_ - arrived_at_[{node, relay->flow}];
+      if (took <= config_.FindRoute("h.example", "/chat/x")->objective) ++within_objective_;
+    } else if (const auto* relay_end = std::get_if<EndRelay>(&action)) {
+      FinishRequest(node, relay_end->flow, &answered_);
     } else if (const auto* whole = std::get_if<RelayResponse>(&action)) {
-      End(node, whole->flow, &answered_);
+      FinishRequest(node, whole->flow, &answered_);
     } else if (const auto* broken = std::get_if<AbortResponse>(&action)) {
-      End(node, broken->flow, &failed_);
+      FinishRequest(node, broken->flow, &failed_);
     } else if (const auto* log = std::get_if<LogDecision>(&action)) {
       if (log->event == EventId::kEngineEjected) {
         const std::size_t from = log->details.find(":\"") + 2;
@@ -160,83 +160,83 @@
 }
 
 void ServingFleet::Arrive(int node, const StartAttempt& start) {
-  SimulatedEngine& world = engines_.at(start.engine_id);
+  SimulatedEngine& simulated = engines_.at(start.engine_id);
   const Call call{node, start, now_ + start.time_left};
-  if (world.ended) return Send(node, AttemptFailed{start.flow, start.attempt, AttemptFailure::kNotSent});
-  ++world.calls;
-  if (fatal_.contains({node, start.flow}) && start.mode != AttemptMode::kPrefill) fatal_runs_.push_back({now_, node});
-  if (world.engine.health == EngineHealth::kUnresponsive) return Count(call, true);
-  if (world.engine.health == EngineHealth::kResetsConnections && random_.Unit() < kResetShare) return Reset(call);
-  if (world.running < world.engine.slots) return Begin(world, call);
-  if (static_cast<int>(world.waiting.size()) < world.engine.queue) {
-    world.waiting.push_back(call);
+  if (simulated.crashed) return Send(node, AttemptFailed{start.flow, start.attempt, AttemptFailure::kNotSent});
+  ++simulated.calls;
+  if (poison_.contains({node, start.flow}) && start.mode != AttemptMode::kPrefill) poison_runs_.push_back({now_, node});
+  if (simulated.engine.health == EngineHealth::kUnresponsive) return CountArrival(call, true);
+  if (simulated.engine.health == EngineHealth::kResetsConnections && random_.Unit() < kResetShare) return Reset(call);
+  if (simulated.running < simulated.engine.slots) return Begin(simulated, call);
+  if (static_cast<int>(simulated.waiting.size()) < simulated.engine.queue) {
+    simulated.waiting.push_back(call);
     return;
   }
-  Refuse(world, call);
+  Refuse(simulated, call);
 }
 
-void ServingFleet::Begin(SimulatedEngine& world, const Call& call) {
-  Count(call, true);
-  ++world.running;
-  world.under_way[{call.node, call.start.attempt}] = call;
-  const bool fatal = fatal_.contains({call.node, call.start.flow}) && call.start.mode != AttemptMode::kPrefill;
-  if (fatal) return At(now_ + kFatalWork, [this, &world] { EndEngine(world); });
-  const int factor = world.engine.health == EngineHealth::kSlow ? kSlowFactor : 1;
-  At(now_ + world.engine.work * factor, [this, &world, call] { Finish(world, call); });
+void ServingFleet::Begin(SimulatedEngine& simulated, const Call& call) {
+  CountArrival(call, true);
+  ++simulated.running;
+  simulated.outstanding[{call.node, call.start.attempt}] = call;
+  const bool is_poison = poison_.contains({call.node, call.start.flow}) && call.start.mode != AttemptMode::kPrefill;
+  if (is_poison) return At(now_ + kPoisonRunTime, [this, &simulated] { EndEngine(simulated); });
+  const int factor = simulated.engine.health == EngineHealth::kSlow ? kSlowFactor : 1;
+  At(now_ + simulated.engine.work * factor, [this, &simulated, call] { Finish(simulated, call); });
 }
 
-EngineLoad ServingFleet::LoadOf(const SimulatedEngine& world) const {
-  return {world.running, static_cast<int>(world.waiting.size()), world.engine.slots};
+EngineLoad ServingFleet::LoadOf(const SimulatedEngine& simulated) const {
+  return {simulated.running, static_cast<int>(simulated.waiting.size()), simulated.engine.slots};
 }
 
-void ServingFleet::Refuse(SimulatedEngine& world, const Call& call) {
-  Count(call, false);
+void ServingFleet::Refuse(SimulatedEngine& simulated, const Call& call) {
+  CountArrival(call, false);
   if (cancelled_.contains({call.node, call.start.attempt})) return;
-  Send(call.node,
-       AttemptHeadReceived{call.start.flow, call.start.attempt, EngineResponseHead{503, true, false, LoadOf(world)}});
+  Send(call.node, AttemptHeadReceived{call.start.flow, call.start.attempt,
+                                      EngineResponseHead{503, true, false, LoadOf(simulated)}});
   Send(call.node, AttemptCompleted{call.start.flow, call.start.attempt, ""});
 }
 
 void ServingFleet::Reset(const Call& call) {
-  Count(call, false);
+  CountArrival(call, false);
   if (cancelled_.contains({call.node, call.start.attempt})) return;
   Send(call.node, AttemptFailed{call.start.flow, call.start.attempt, AttemptFailure::kBroken});
 }
 
-void ServingFleet::Finish(SimulatedEngine& world, const Call& call) {
-  if (world.ended) return;
-  --world.running;
-  const bool is_wanted = world.under_way.erase({call.node, call.start.attempt}) > 0;
-  while (!world.waiting.empty() && world.running < world.engine.slots) {
-    const Call next = world.waiting.front();
-    world.waiting.pop_front();
+void ServingFleet::Finish(SimulatedEngine& simulated, const Call& call) {
+  if (simulated.crashed) return;
+  --simulated.running;
+  const bool is_wanted = simulated.outstanding.erase({call.node, call.start.attempt}) > 0;
+  while (!simulated.waiting.empty() && simulated.running < simulated.engine.slots) {
+    const Call next = simulated.waiting.front();
+    simulated.waiting.pop_front();
     if (cancelled_.contains({next.node, next.start.attempt})) continue;
-    if (now_ >= next.ends) {
-      Refuse(world, next);
+    if (now_ >= next.expires_at) {
+      Refuse(simulated, next);
     } else {
-      Begin(world, next);
+      Begin(simulated, next);
     }
   }
   if (!is_wanted || cancelled_.contains({call.node, call.start.attempt})) return;
-  const bool fails = world.engine.health == EngineHealth::kFailsOften && random_.Unit() < kGreyErrors;
+  const bool fails = simulated.engine.health == EngineHealth::kFailsOften && random_.Unit() < kErrorShare;
   Send(call.node, AttemptHeadReceived{call.start.flow, call.start.attempt,
-                                      EngineResponseHead{fails ? 500 : 200, false, true, LoadOf(world)}});
-  const bool reads = call.start.mode == AttemptMode::kPrefill && !fails;
-  Send(call.node, AttemptCompleted{call.start.flow, call.start.attempt, reads ? "h" : ""});
+                                      EngineResponseHead{fails ? 500 : 200, false, true, LoadOf(simulated)}});
+  const bool completes_prefill = call.start.mode == AttemptMode::kPrefill && !fails;
+  Send(call.node, AttemptCompleted{call.start.flow, call.start.attempt, completes_prefill ? "h" : ""});
 }
 
-void ServingFleet::EndEngine(SimulatedEngine& world) {
-  if (world.ended) return;
-  world.ended = true;
+void ServingFleet::EndEngine(SimulatedEngine& simulated) {
+  if (simulated.crashed) return;
+  simulated.crashed = true;
   engine_ends_.push_back(now_);
-  std::vector<Call> lost(world.waiting.begin(), world.waiting.end());
-  for (const auto& [key, call] : world.under_way) lost.push_back(call);
-  for (const Call& call : lost) {
+  std::vector<Call> aborted_calls(simulated.waiting.begin(), simulated.waiting.end());
+  for (const auto& [key, call] : simulated.outstanding) aborted_calls.push_back(call);
+  for (const Call& call : aborted_calls) {
     if (cancelled_.contains({call.node, call.start.attempt})) continue;
     Send(call.node, AttemptFailed{call.start.flow, call.start.attempt, AttemptFailure::kBroken});
   }
-  At(now_ + kRecordKept, [this, id = world.engine.record.id] { SendAll(EngineRemoved{id}); });
-  FleetEngine next = world.engine;
+  At(now_ + kRecordRetention, [this, id = simulated.engine.record.id] { SendAll(EngineRemoved{id}); });
+  FleetEngine next = simulated.engine;
   if (same_ids_) {
     next.record.started_ms = (now_ + EngineRestart()).time_since_epoch().count() / 1000;
   } else {
@@ -255,17 +255,17 @@
   for (int node = 0; node < static_cast<int>(nodes_.size()); ++node) Send(node, event);
 }
 
-// The platform's count: the first run and the first prefill that was taken up
-// are free; every further arrival counts, and every prefill that was refused.
-void ServingFleet::Count(const Call& call, bool taken) {
-  RequestSeen& seen = seen_[{call.node, call.start.flow}];
+// Counts arrivals as the platform does: a request's first run and its first accepted prefill are free; every further
+// arrival counts, and so does every rejected prefill.
+void ServingFleet::CountArrival(const Call& call, bool taken) {
+  RequestArrivals& arrivals = arrivals_[{call.node, call.start.flow}];
   if (call.start.mode == AttemptMode::kPrefill) {
     if (!taken) {
       counted_.push_back({now_, "prefill refused"});
-    } else if (++seen.prefills > 1) {
+    } else if (++arrivals.prefills > 1) {
       counted_.push_back({now_, "prefill again"});
     }
-  } else if (++seen.runs > 1) {
+  } else if (++arrivals.runs > 1) {
     counted_.push_back({now_, "run again"});
   }
 }
@@ -282,10 +282,10 @@
   for (int from = 0; from < static_cast<int>(nodes_.size()); ++from) {
     if (!Hears(node, from)) continue;
     ++changed.nodes;
-    for (const ServiceDemand& told : nodes_[from]->OwnDemand(now_)) {
-      demand.service = told.service;
-      demand.prefill_engines += told.prefill_engines;
-      demand.reading_depth += told.reading_depth / static_cast<double>(nodes_.size() - 1);
+    for (const ServiceDemand& reported : nodes_[from]->OwnDemand(now_)) {
+      demand.service = reported.service;
+      demand.prefill_engines += reported.prefill_engines;
+      demand.reading_depth += reported.reading_depth / static_cast<double>(nodes_.size() - 1);
     }
     for (const EngineWork& work : nodes_[from]->OwnWork(now_)) {
       changed.work[work.engine].Add(work);
@@ -304,7 +304,7 @@
 }
 
 double ServingFleet::MaxBudgetExcess(double ratio, double slack, Duration window) const {
-  const auto asked = [&](Time from) {
+  const auto requests_in_window = [&](Time from) {
     return std::count_if(requests_.begin(), requests_.end(), [&](Time at) { return at >= from && at < from + window; });
   };
   double worst = -slack;
@@ -312,12 +312,13 @@
     const auto extras = std::count_if(counted_.begin(), counted_.end(), [&](const BudgetedArrival& other) {
       return other.at >= first.at && other.at < first.at + window;
     });
-    const auto requests = std::max({asked(first.at), asked(first.at - window), asked(first.at - window / 2)});
+    const auto requests = std::max({requests_in_window(first.at), requests_in_window(first.at - window),
+                                    requests_in_window(first.at - window / 2)});
     worst = std::max(worst, static_cast<double>(extras) - ratio * static_cast<double>(requests) - slack);
   }
   return worst;
 }
 
-void ServingFleet::ResetCounts() { answered_ = in_time_ = refused_ = failed_ = 0; }
+void ServingFleet::ResetCounts() { answered_ = within_objective_ = refused_ = failed_ = 0; }
 
 }  // namespace saltquay::serving
--- a/tests/support/serving_fleet.h
+++ b/tests/support/serving_fleet.h
@@ -1,7 +1,6 @@
-// Several serving cores before scripted engines, in virtual time: arrivals,
-// reports between the nodes, engines with slots and a queue that refuse when
-// full, engines that are grey, slow or dark, and engines that a request ends.
-// Counts what the engines see.
+// Several serving cores in front of simulated engines, in virtual time: requests, reports between the nodes, engines
+// with slots and a queue that reject requests when full, engines that are failing, slow or unresponsive, and engines
+// that a request crashes. Records what the engines receive.
 #pragma once
 
 #include <deque>
@@ -17,24 +16,24 @@
 
 namespace saltquay::serving {
 
-// An engine that resets takes up most calls' connections and closes them without running anything.
+// kResetsConnections: accepts the connection and closes it without running anything, for most calls.
 enum class EngineHealth { kHealthy, kFailsOften, kSlow, kUnresponsive, kResetsConnections };
 
 struct FleetEngine {
   EngineRecord record;
   int slots = 4;
   int queue = 8;
-  Duration work = 30ms;  // Of one call that has a slot.
+  Duration work = 30ms;  // Per call, while it has a slot.
   EngineHealth health = EngineHealth::kHealthy;
 };
 
-// A run of a request that ends engines.
+// A run of a poison request.
 struct PoisonRun {
   Time at{};  // When it reached the engine.
   int node = 0;
 };
 
-// An arrival that the retry budget counts.
+// An arrival that counts against the retry budget.
 struct BudgetedArrival {
   Time at{};
   std::string cause;
@@ -47,39 +46,39 @@
   void AddEngine(const FleetEngine& engine) { engines_[engine.record.id].engine = engine; }
   void SetHealth(const std::string& id, EngineHealth health) { engines_.at(id).engine.health = health; }
   void EndEngine(const std::string& id) { EndEngine(engines_.at(id)); }
-  // Tells all nodes of the engines and of each other.
+  // Reports all engines to the nodes and the nodes to each other.
   void Begin();
-  // Sends `per_second` requests of the route, spread over the nodes, until `end`.
+  // Sends `per_second` requests of the route to random nodes until `end`.
   void Offer(const std::string& route, double per_second, Time end, const std::function<PromptMetadata(int)>& prompt);
-  // Sends the same request, which ends each engine that begins to run it, once in each `gap`, to nodes by chance. Each
-  // engine that ends is replaced by a new one at its address after `EngineRestart()`.
+  // Sends a request that crashes each engine that starts to run it to a random node, once every `gap`. A crashed engine
+  // is replaced by a new one at its address after `EngineRestart()`.
   void SendPoisonRequests(const std::string& route, const PromptMetadata& prompt, Duration gap, Time end);
   static Duration EngineRestart() { return 4s; }
-  // Cuts the nodes from each other: those of one side hear only that side. Empty: nobody is cut off.
+  // Partitions the nodes: each receives reports only from its own side. Empty: no partition.
   void set_sides(std::vector<int> sides) { sides_ = std::move(sides); }
-  // Engines that end start again under their id, as another life.
+  // Crashed engines restart under the same id, as a new incarnation.
   void set_same_ids() { same_ids_ = true; }
-  // The share of messages between nodes that are lost.
+  // Share of messages between nodes that are lost.
   void set_loss(double share) { loss_ = share; }
-  // The node starts anew: it knows nothing, and what it had under way is lost.
+  // Restarts the node: its state and its requests in flight are lost.
   void Restart(int node);
   void RunUntil(Time end);
 
   Time now() const { return now_; }
   int answered() const { return answered_; }
-  int answered_within_objective() const { return in_time_; }
+  int answered_within_objective() const { return within_objective_; }
   int refused() const { return refused_; }
   int failed() const { return failed_; }
   const std::vector<Time>& requests() const { return requests_; }
   const std::vector<BudgetedArrival>& counted() const { return counted_; }
   const std::multiset<std::string>& ejected() const { return ejected_; }
-  // When engines ended, and when runs of the request that ends them reached engines.
+  // Times of engine crashes, and runs of the poison request.
   const std::vector<Time>& engine_ends() const { return engine_ends_; }
-  const std::vector<PoisonRun>& poison_runs() const { return fatal_runs_; }
-  // Requests in quarantine at any node, by fingerprint; an ordinary request's differs from all others'.
+  const std::vector<PoisonRun>& poison_runs() const { return poison_runs_; }
+  // Requests in quarantine on any node, by fingerprint; each ordinary request has a unique one.
   const std::set<std::string>& quarantined() const { return quarantined_; }
   int calls_at(const std::string& engine) const { return engines_.at(engine).calls; }
-  // Most extra arrivals beyond ratio x requests + slack in any window; negative: always below.
+  // Maximum of the counted arrivals minus (ratio x requests + slack) over all windows; negative if never exceeded.
   double MaxBudgetExcess(double ratio, double slack, Duration window) const;
   void ResetCounts();
 
@@ -87,52 +86,52 @@
   struct Call {
     int node = 0;
     StartAttempt start;
-    Time ends{};
+    Time expires_at{};
   };
   struct SimulatedEngine {
     FleetEngine engine;
     std::deque<Call> waiting;
     int running = 0;
     int calls = 0;
-    bool ended = false;
-    std::map<std::pair<int, AttemptId>, Call> under_way;
+    bool crashed = false;
+    std::map<std::pair<int, AttemptId>, Call> outstanding;
   };
-  struct RequestSeen {
+  struct RequestArrivals {
     int runs = 0;
     int prefills = 0;
   };
 
-  void At(Time at, std::function<void()> step) { agenda_.emplace(at, std::move(step)); }
+  void At(Time at, std::function<void()> step) { events_.emplace(at, std::move(step)); }
   void Send(int node, const Event& event);
-  void Carry(int node, const std::vector<Action>& actions);
+  void Perform(int node, const std::vector<Action>& actions);
   void Wake(int node);
   void Arrive(int node, const StartAttempt& start);
-  void Begin(SimulatedEngine& world, const Call& call);
-  void Finish(SimulatedEngine& world, const Call& call);
-  void Refuse(SimulatedEngine& world, const Call& call);
+  void Begin(SimulatedEngine& simulated, const Call& call);
+  void Finish(SimulatedEngine& simulated, const Call& call);
+  void Refuse(SimulatedEngine& simulated, const Call& call);
   void Reset(const Call& call);
-  // The engine's process ends; another takes its address later.
-  void EndEngine(SimulatedEngine& world);
+  // The engine's process crashes; later another takes its address.
+  void EndEngine(SimulatedEngine& simulated);
   void Replace(const FleetEngine& engine);
   void SendAll(const Event& event);
-  // Tells the peers of what the node knows of requests under which engines ended.
+  // Sends the peers the node's crash marks.
   void ReportCrashes(int from);
-  void Count(const Call& call, bool taken);
+  void CountArrival(const Call& call, bool taken);
   void Report();
   void ReportTo(int node);
   bool Hears(int to, int from) const { return to != from && (sides_.empty() || sides_[to] == sides_[from]); }
-  EngineLoad LoadOf(const SimulatedEngine& world) const;
-  void End(int node, FlowId flow, int* count);
+  EngineLoad LoadOf(const SimulatedEngine& simulated) const;
+  void FinishRequest(int node, FlowId flow, int* count);
 
   ServingConfig config_;
   std::vector<std::unique_ptr<ServingCore>> nodes_;
   std::map<std::string, SimulatedEngine> engines_;
-  std::multimap<Time, std::function<void()>> agenda_;
-  std::map<std::pair<int, FlowId>, Time> began_;
-  std::map<std::pair<int, FlowId>, RequestSeen> seen_;
+  std::multimap<Time, std::function<void()>> events_;
+  std::map<std::pair<int, FlowId>, Time> arrived_at_;
+  std::map<std::pair<int, FlowId>, RequestArrivals> arrivals_;
   std::set<std::pair<int, AttemptId>> cancelled_;
-  std::set<std::pair<int, FlowId>> fatal_;
-  std::vector<PoisonRun> fatal_runs_;
+  std::set<std::pair<int, FlowId>> poison_;
+  std::vector<PoisonRun> poison_runs_;
   std::vector<Time> engine_ends_;
   std::set<std::string> quarantined_;
   std::vector<Time> requests_;
@@ -146,7 +145,7 @@
   Time now_{1s};
   FlowId last_flow_ = 0;
   int answered_ = 0;
-  int in_time_ = 0;
+  int within_objective_ = 0;
   int refused_ = 0;
   int failed_ = 0;
 };
