--- a/src/core/serving/engine_directory.h
+++ b/src/core/serving/engine_directory.h
@@ -1,5 +1,5 @@
-// This node's view of each engine: its record from the platform, its last reported load, this node's outstanding
-// requests, and whether it may receive requests.
+// This node's view of each engine: its record from the platform, its last reported load, this node's requests in
+// flight, and whether it may receive requests.
 //
 // Protocol. Records come from a watched collection. An engine that was removed or is leaving receives no new requests.
 // An engine that fails is ejected for a while and then returns on probation: the number of concurrent requests allowed
--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -280,7 +280,7 @@
   const std::vector<RankedNode> region_representatives =
       PickAcrossZones(RankNodes(self_, others), parameters_.region_representatives);
   return std::any_of(region_representatives.begin(), region_representatives.end(),
-                     [&](const RankedNode& speaker) { return speaker.node == &self_; });
+                     [&](const RankedNode& representative) { return representative.node == &self_; });
 }
 
 // The region's known representatives, plus the first of its ranking while there are too few.
--- a/tests/core/serving/engine_selection_test.cc
+++ b/tests/core/serving/engine_selection_test.cc
@@ -1,4 +1,4 @@
-// Engine health and ejection, retry allowance, choice of prefill and decode engines, peer reports.
+// Engine health and ejection, retry budget share, choice of prefill and decode engines, peer reports.
 #include <cmath>
 #include <functional>
 #include <map>
--- a/tests/support/serving_fleet.h
+++ b/tests/support/serving_fleet.h
@@ -27,7 +27,7 @@
   EngineHealth health = EngineHealth::kHealthy;
 };
 
-// A run of a poison request.
+// An execution of a poison request.
 struct PoisonRun {
   Time at{};  // When it reached the engine.
   int node = 0;
@@ -72,7 +72,7 @@
   const std::vector<Time>& requests() const { return requests_; }
   const std::vector<BudgetedArrival>& counted() const { return counted_; }
   const std::multiset<std::string>& ejected() const { return ejected_; }
-  // Times of engine crashes, and runs of the poison request.
+  // Times of engine crashes, and executions of the poison request.
   const std::vector<Time>& engine_ends() const { return engine_ends_; }
   const std::vector<PoisonRun>& poison_runs() const { return poison_runs_; }
   // Requests in quarantine on any node, by fingerprint; each ordinary request has a unique one.
