--- a/bench/serving_bench.cc
+++ b/bench/serving_bench.cc
@@ -33,13 +33,13 @@
     now_ += 1ms;
     RequestArrived arrived;
     arrived.flow = ++flow_;
-    arrived.facts.host = "h.example";
-    arrived.facts.path = "/chat/x";
+    arrived.metadata.host = "h.example";
+    arrived.metadata.path = "/chat/x";
     PromptMetadata prompt;
     prompt.tokens = 9190;
     prompt.output_tokens = 2;
     prompt.parts = {{fmt::format("shared-{}", flow_ * 7919 % kSharedParts), 6300}, {"own", 2890}};
-    arrived.facts.prompt = prompt;
+    arrived.metadata.prompt = prompt;
     Send(arrived);
     Answer(Started(), "handle");
     Answer(Started(), "");
--- a/include/saltquay/admission/concurrency_window.h
+++ b/include/saltquay/admission/concurrency_window.h
@@ -58,7 +58,7 @@
 
     double limit() const { return std::max(1.0, depth_ * share_ * engines_); }
     double depth() const { return depth_; }
-    int under_way() const { return in_flight_; }
+    int in_flight() const { return in_flight_; }
     // Moving average of the latency.
     Duration mean_latency() const { return FromSeconds(mean_latency_s_); }
     // Average interval at which slots become free while the window is full.
--- a/include/saltquay/admission/prefill_queue.h
+++ b/include/saltquay/admission/prefill_queue.h
@@ -22,7 +22,7 @@
     Time prefill_deadline {};   // If its prefill starts later, the response misses its latency objective.
     Time ends {};               // Deadline of the request.
     int route_priority = 5;     // 0 is the most urgent.
-    double worth = 1;           // Relative to the mean of its route.
+    double prompt_value = 1;    // Relative to the mean of its route.
     double prefill_cost_ms = 1; // Engine time of its prefill.
 };
 
--- a/include/saltquay/admission/prefill_time_model.h
+++ b/include/saltquay/admission/prefill_time_model.h
@@ -34,7 +34,7 @@
     }
 
     // Records a prefill of `tokens` that took `time` without delay by other work.
-    void note(std::int64_t tokens, Duration time);
+    void record_sample(std::int64_t tokens, Duration time);
 
     // Prompt tokens per millisecond on an idle engine.
     double rate() const { return rate_; }
--- a/include/saltquay/duties/fleet_clock.h
+++ b/include/saltquay/duties/fleet_clock.h
@@ -20,14 +20,14 @@
 class FleetClock {
 public:
     // Records the reading of this machine's wall clock at `now`.
-    void record_own_clock(Time now, WallTime);
+    void record_local_clock(Time now, WallTime);
     // Records the reading of a peer's wall clock in a message that arrived at `now`.
     void record_peer_clock(std::string_view node, Time now, WallTime);
 
     // The median of the recently reported peer clocks and this machine's clock.
     WallTime at(Time now) const;
     // How far this machine's clock is ahead of the fleet's; negative if behind.
-    std::chrono::milliseconds own_clock_error(Time now) const;
+    std::chrono::milliseconds local_clock_error(Time now) const;
 
 private:
     struct Sample {
--- a/include/saltquay/duties/usage_aggregator.h
+++ b/include/saltquay/duties/usage_aggregator.h
@@ -36,7 +36,7 @@
     }
 
     // Merges a report of scope kUsage, received from the counting node or forwarded by another.
-    void note(serving::PeerReport const&, Time now);
+    void record_usage(serving::PeerReport const&, Time now);
     // Waits for first reports of all nodes again, because no node reported to this one until now.
     void restart_collection(Time now) { collection_start_ = now; }
 
@@ -45,7 +45,7 @@
     bool is_complete(std::int64_t window, Time now) const;
     // Whether an incarnation that began at or before that time is known.
     bool covers_time(WallTime) const;
-    void forget(Time now, std::int64_t before_window);
+    void discard(Time now, std::int64_t before_window);
     // All contributions except those of `excluded_node`, for forwarding; each report has at most `max_counts` counts.
     std::vector<serving::PeerReport> contributions(std::string const& excluded_node, std::size_t max_counts) const;
     std::size_t incarnation_count() const { return incarnations_.size(); }
--- a/include/saltquay/duties/usage_counter.h
+++ b/include/saltquay/duties/usage_counter.h
@@ -41,12 +41,12 @@
     }
 
     // Counts a request that began to execute at `began`.
-    void note(std::string_view tenant, WallTime began, Time now);
+    void record_usage(std::string_view tenant, WallTime began, Time now);
     // The counts that changed since then; all() returns every count.
     std::vector<UsageCount> counts_changed_since(Time) const;
     std::vector<UsageCount> all() const { return counts_changed_since(Time {}); }
     // Discards the windows before this one: they were reported, or are too old to be.
-    void forget_before(std::int64_t window);
+    void discard_before(std::int64_t window);
 
 private:
     struct Count {
--- a/include/saltquay/limits/limiter.h
+++ b/include/saltquay/limits/limiter.h
@@ -43,7 +43,7 @@
 
 // A change of a tenant's owner or of a node's reachability; logged.
 struct OwnershipChange {
-    enum class Kind : std::uint8_t { TookOver, HandedOver, Received, Unresponsive, Responsive };
+    enum class Kind : std::uint8_t { TookOver, HandedOff, Received, Unresponsive, Responsive };
     Kind kind = Kind::TookOver;
     std::string tenant; // Empty: all tenants of the node.
     std::string node;   // The other node; empty: none.
--- a/src/admission/prefill_queue.cc
+++ b/src/admission/prefill_queue.cc
@@ -119,7 +119,7 @@
 
     static Rank rank(QueuedPrompt const& prompt)
     {
-        return { prompt.route_priority, prompt.prefill_cost_ms / prompt.worth, prompt.id };
+        return { prompt.route_priority, prompt.prefill_cost_ms / prompt.prompt_value, prompt.id };
     }
 
     void move_expired_to_late_lane(Time now)
--- a/src/admission/prefill_time_model.cc
+++ b/src/admission/prefill_time_model.cc
@@ -18,7 +18,7 @@
     return std::max(parameters_.min_step, parameters_.initial_step / (1 + samples / step_halving_samples));
 }
 
-void PrefillTimeModel::note(std::int64_t tokens, Duration time)
+void PrefillTimeModel::record_sample(std::int64_t tokens, Duration time)
 {
     if (tokens <= 0 || time <= 0s)
         return;
--- a/src/core/serving/crash_ledger.cc
+++ b/src/core/serving/crash_ledger.cc
@@ -24,7 +24,7 @@
 }
 
 bool CrashLedger::AddCrash(std::uint64_t request, EngineKey engine, Time at, Time now) {
-  if (request == 0 || now - at > parameters_.memory) return false;
+  if (request == 0 || now - at > parameters_.retention) return false;
   Entry& entry = entries_[request];
   if (entry.cleared && at <= *entry.cleared + kReportDelay) return false;
   const auto [end, is_new] = entry.crashes.emplace(engine, at);
@@ -38,7 +38,7 @@
   return true;
 }
 
-bool CrashLedger::NoteServed(std::uint64_t request, Time now) {
+bool CrashLedger::RecordSuccess(std::uint64_t request, Time now) {
   const auto entry = entries_.find(request);
   return entry != entries_.end() && !entry->second.crashes.empty() && RecordClearance(entry->second, now, now);
 }
@@ -57,7 +57,7 @@
   std::vector<std::uint64_t> changed;
   for (const CrashMark& mark : marks) {
     const Time at = now - mark.age;
-    if (mark.request == 0 || mark.age > parameters_.memory) continue;
+    if (mark.request == 0 || mark.age > parameters_.retention) continue;
     const bool is_news =
         mark.clears() ? RecordClearance(entries_[mark.request], at, now) : AddCrash(mark.request, mark.engine, at, now);
     Shrink(mark.request, now);
@@ -68,7 +68,7 @@
   return changed;
 }
 
-int CrashLedger::Ends(std::uint64_t request) const {
+int CrashLedger::CrashCount(std::uint64_t request) const {
   const auto entry = entries_.find(request);
   return entry == entries_.end() ? 0 : static_cast<int>(entry->second.crashes.size());
 }
@@ -142,7 +142,7 @@
 }
 
 void CrashLedger::Shrink(std::uint64_t protected_request, Time now) {
-  std::erase_if(entries_, [&](const auto& entry) { return now - entry.second.last > parameters_.memory; });
+  std::erase_if(entries_, [&](const auto& entry) { return now - entry.second.last > parameters_.retention; });
   while (entries_.size() > parameters_.max_ledger_requests) {
     auto victim = entries_.end();
     for (auto entry = entries_.begin(); entry != entries_.end(); ++entry) {
--- a/src/core/serving/crash_ledger.h
+++ b/src/core/serving/crash_ledger.h
@@ -3,10 +3,10 @@
 // Protocol. A crash mark names a request and one incarnation of an engine. Nodes exchange their marks and a ledger
 // holds the union, so marks may arrive in any order, repeatedly and from any node. A request with
 // `quarantine_threshold` crashes is quarantined: no node sends it to an engine until `quarantine` after the last crash.
-// After that it may be tried again; its crashes are remembered for `memory`, so one more quarantines it again at once.
-// A successful execution clears all earlier crashes: a request that crashes engines never succeeds, one that merely ran
-// next to it does. Clearances are exchanged like crashes; a later one supersedes. Marks carry ages, not times, so that
-// nodes need no common clock.
+// After that it may be tried again; its crashes are remembered for `retention`, so one more quarantines it again at
+// once. A successful execution clears all earlier crashes: a request that crashes engines never succeeds, one that
+// merely ran next to it does. Clearances are exchanged like crashes; a later one supersedes. Marks carry ages, not
+// times, so that nodes need no common clock.
 //
 // Cost: an innocent request that happens to run at three engines that crash in a row, without succeeding in between, is
 // refused for `quarantine`. A request that crashes engines takes down `quarantine_threshold` of them, plus those at
@@ -39,7 +39,7 @@
   int quarantine_threshold = 3;
   // Clients stop retrying at their deadlines, after seconds; a crashed engine is missing for four or five seconds.
   Duration quarantine = 300s;
-  Duration memory = 600s;
+  Duration retention = 600s;
   // About 300 bytes each. Beyond the limit, requests with the fewest crashes are evicted first, the oldest among them
   // before others.
   std::size_t max_ledger_requests = 1024;
@@ -60,14 +60,14 @@
   // This node observed that an engine crashed while it had the request. Returns whether that was unknown.
   bool RecordCrash(std::uint64_t request, EngineKey engine, Time at, Time now);
   // An execution of the request succeeded. Returns whether that cleared any crashes.
-  bool NoteServed(std::uint64_t request, Time now);
+  bool RecordSuccess(std::uint64_t request, Time now);
   // Merges marks of another node. Returns the requests for which anything was unknown.
   std::vector<std::uint64_t> Merge(std::span<const CrashMark> marks, Time now);
 
   // For how long the request must not be sent to an engine; nothing if it may be sent.
   std::optional<Duration> QuarantineRemaining(std::uint64_t request, Time now) const;
   // How many engines crashed while they had the request.
-  int Ends(std::uint64_t request) const;
+  int CrashCount(std::uint64_t request) const;
   // The marks to report to other nodes now: all recent changes, and some older marks in round-robin order.
   std::vector<CrashMark> MarksToReport(Time now);
   std::size_t size() const { return entries_.size(); }
--- a/src/core/serving/crash_steps.cc
+++ b/src/core/serving/crash_steps.cc
@@ -61,7 +61,7 @@
 void ServingCore::On(const PeerCrashesReported& event) {
   for (const std::uint64_t request : crashes_.Merge(event.marks, now_)) {
     OnCrashCountIncreased(request, "peer");
-    if (crashes_.Ends(request) > 0) continue;
+    if (crashes_.CrashCount(request) > 0) continue;
     Log(EventId::kRequestCleared, nullptr,
         fmt::format(R"("fingerprint":"{:016x}","cause":"reported by a peer")", request));
   }
@@ -72,7 +72,7 @@
   if (!remaining) return;
   Log(EventId::kRequestQuarantined, nullptr,
       fmt::format(R"("fingerprint":"{:016x}","engines_ended":{},"source":"{}","for_ms":{})", fingerprint,
-                  crashes_.Ends(fingerprint), source, remaining->count() / 1000));
+                  crashes_.CrashCount(fingerprint), source, remaining->count() / 1000));
   std::vector<FlowId> affected_flows;
   for (const auto& [id, flow] : flows_) {
     if (flow->fingerprint == fingerprint) affected_flows.push_back(id);
@@ -97,8 +97,8 @@
   return true;
 }
 
-void ServingCore::NoteServed(const Flow& flow) {
-  if (!crashes_.NoteServed(flow.fingerprint, now_)) return;
+void ServingCore::RecordSuccess(const Flow& flow) {
+  if (!crashes_.RecordSuccess(flow.fingerprint, now_)) return;
   Log(EventId::kRequestCleared, &flow, R"("cause":"request succeeded")");
   actions_->push_back(ReportCrashes{});
 }
--- a/src/core/serving/engine_selector.h
+++ b/src/core/serving/engine_selector.h
@@ -87,7 +87,7 @@
     return prompt_cache_.TokensToPrefill(engine, prompt, now);
   }
   // Duration of a prefill that, as far as is known, ran alone on its engine.
-  void RecordPrefillTime(std::int64_t tokens, Duration time) { prefill_time_model_.note(tokens, time); }
+  void RecordPrefillTime(std::int64_t tokens, Duration time) { prefill_time_model_.record_sample(tokens, time); }
 
   // Estimated requests in flight of all nodes on the engine.
   double EstimatedLoad(const EngineState& engine, Time now) const;
--- a/src/core/serving/events.h
+++ b/src/core/serving/events.h
@@ -57,7 +57,7 @@
 };
 
 // Units of the tenant's limit that the request consumes.
-std::int64_t CostOf(const limits::TenantLimit& limit, const RequestMetadata& facts);
+std::int64_t CostOf(const limits::TenantLimit& limit, const RequestMetadata& metadata);
 
 // The fields of an engine's response head that the core uses.
 struct EngineResponseHead {
@@ -88,7 +88,7 @@
 };
 // Whether the node is connected to the store, so that its view of configuration and engines is current.
 struct StoreConnectivityChanged {
-  bool in_contact = false;
+  bool connected = false;
 };
 // Aggregate of the peers' latest reports.
 struct PeersChanged {
@@ -101,7 +101,7 @@
 };
 struct RequestArrived {
   FlowId flow = 0;
-  RequestMetadata facts;
+  RequestMetadata metadata;
 };
 struct ClientDisconnected {
   FlowId flow = 0;
@@ -166,7 +166,7 @@
   std::string engine_id;
   std::string address;
   AttemptMode mode = AttemptMode::kWhole;
-  std::optional<KvCacheSource> memory;
+  std::optional<KvCacheSource> kv_cache_source;
   std::string copy_from;  // Address of an engine that may have the prompt's shared parts cached; empty: none.
   std::string last_event_id;
   Duration time_left = 0s;
@@ -207,7 +207,7 @@
   FlowId flow = 0;
 };
 struct ReleaseKvCache {
-  KvCacheSource memory;
+  KvCacheSource kv_cache_source;
 };
 // A tenant's request started executing at an engine for the first time. Counts towards the tenant's usage.
 struct ExecutionStarted {
--- a/src/core/serving/flow_steps.cc
+++ b/src/core/serving/flow_steps.cc
@@ -22,7 +22,7 @@
 }
 
 bool SplitsPrompt(const Flow& flow, const ServingParameters& parameters) {
-  return flow.language && flow.facts.prompt->tokens > parameters.max_unsplit_prompt_tokens;
+  return flow.language && flow.metadata.prompt->tokens > parameters.max_unsplit_prompt_tokens;
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
     EngineState* decode = selector_.ChooseDecodeEngine(engines_, flow.service, zone, flow.tried_engines, now_);
     if (decode != nullptr || mode == AttemptMode::kContinue) return decode;
     // Engines without stages do both prefill and decode.
-    return selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kUniform, *flow.facts.prompt,
+    return selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kUniform, *flow.metadata.prompt,
                                          flow.tried_engines, now_);
   }
   return selector_.ChooseUniformEngine(engines_, flow.service, flow.tried_engines, now_);
@@ -94,7 +94,7 @@
   start.engine_id = engine.record.id;
   start.address = engine.record.address;
   start.mode = mode;
-  if (mode == AttemptMode::kContinue) start.memory = attempt.kv_cache = flow.kv_cache;
+  if (mode == AttemptMode::kContinue) start.kv_cache_source = attempt.kv_cache = flow.kv_cache;
   start.last_event_id = flow.last_event_id;
   start.time_left = flow.expires_at + parameters_.response_margin - now_;
   start.connect_timeout =
@@ -130,7 +130,7 @@
 }
 
 void ServingCore::PlanPrefillWork(const Flow& flow, EngineState& engine, Attempt& attempt, StartAttempt& start) {
-  const PromptMetadata& prompt = *flow.facts.prompt;
+  const PromptMetadata& prompt = *flow.metadata.prompt;
   attempt.prompt_tokens = selector_.TokensToPrefill(engine.key, prompt, now_);
   if (SupportsPrefixCopy(flow)) {
     const EngineState* source = selector_.FindCopySource(engines_, engine, prompt, now_);
@@ -158,7 +158,7 @@
           engine.has_reported_load ? (now_ - engine.load_reported_at).count() / 1000 : -1,
           engine.outstanding_prompt_tokens, engine.peers_prompt_tokens, tokens_to_prefill, selector_.read_rate(),
           prefill_states_.contains(flow.service) ? prefill_states_.at(flow.service).prefill_window.limit() : 0,
-          prefill_states_.contains(flow.service) ? prefill_states_.at(flow.service).prefill_window.under_way() : 0,
+          prefill_states_.contains(flow.service) ? prefill_states_.at(flow.service).prefill_window.in_flight() : 0,
           prefill_states_.contains(flow.service) ? prefill_states_.at(flow.service).queue->size() : 0, start.copy_from,
           start.time_left.count() / 1000));
 }
@@ -195,7 +195,7 @@
 
 void ServingCore::FinishExecution(Flow& flow, const Attempt& attempt) {
   const int status = attempt.response_head.status;
-  if (status < kFirstError && attempt.response_head.signed_by_engine) NoteServed(flow);
+  if (status < kFirstError && attempt.response_head.signed_by_engine) RecordSuccess(flow);
   if (flow.relayed_attempt == attempt.id) {
     Log(EventId::kRequestAnswered, &flow,
         fmt::format(R"("status":{},"engine":"{}","took_ms":{},"tries":{},"stream":true)", status, attempt.engine_id,
@@ -205,7 +205,7 @@
   }
   if (flow.relaying) return Retry(flow, "stream was not resumed");
   const bool failed = status >= kFirstError || (status < kFirstRedirect && !attempt.response_head.signed_by_engine);
-  if (failed && MayExecuteAgain(flow) && retry_budget_share_.Left(flow.service, now_) >= 1) {
+  if (failed && MayExecuteAgain(flow) && retry_budget_share_.Remaining(flow.service, now_) >= 1) {
     const int executions = flow.executions;
     const FlowId id = flow.id;
     flow.tried_engines.insert(attempt.engine_id);
@@ -307,7 +307,7 @@
 void ServingCore::Retry(Flow& flow, std::string_view cause) {
   Log(EventId::kRequestRetried, &flow,
       fmt::format(R"("cause":"{}","tries":{},"allowance":{:.1f})", cause, flow.attempt_count,
-                  retry_budget_share_.Left(flow.service, now_)));
+                  retry_budget_share_.Remaining(flow.service, now_)));
   if (flow.attempt_count >= parameters_.max_attempts_per_flow) {
     if (!flow.attempts.empty()) return ScheduleWakeUp(flow);
     if (flow.relaying) return AbortFlow(flow, "too many attempts");
--- a/src/core/serving/limit_steps.cc
+++ b/src/core/serving/limit_steps.cc
@@ -14,7 +14,7 @@
   switch (kind) {
     case Kind::TookOver:
       return "took over";
-    case Kind::HandedOver:
+    case Kind::HandedOff:
       return "handed over";
     case Kind::Received:
       return "received";
@@ -28,10 +28,10 @@
 
 }  // namespace
 
-std::int64_t CostOf(const limits::TenantLimit& limit, const RequestMetadata& facts) {
+std::int64_t CostOf(const limits::TenantLimit& limit, const RequestMetadata& metadata) {
   if (limit.unit == limits::LimitUnit::Requests) return 1;
-  if (!facts.prompt) return limit.plain_cost;
-  return static_cast<std::int64_t>(facts.prompt->tokens) + facts.prompt->output_tokens;
+  if (!metadata.prompt) return limit.plain_cost;
+  return static_cast<std::int64_t>(metadata.prompt->tokens) + metadata.prompt->output_tokens;
 }
 
 void ServingCore::SetLimits() {
@@ -77,7 +77,7 @@
 }
 
 void ServingCore::BeginServing(Flow& flow) {
-  retry_budget_share_.NoteRequest(flow.service, now_);
+  retry_budget_share_.RecordRequest(flow.service, now_);
   Advance(flow);
 }
 
--- a/src/core/serving/prefill_steps.cc
+++ b/src/core/serving/prefill_steps.cc
@@ -25,7 +25,7 @@
   constexpr double kMax = 4;
   constexpr double kOutputWeight = 10;
   constexpr double kStep = 0.02;
-  const double size = flow.facts.prompt->tokens + kOutputWeight * flow.facts.prompt->output_tokens;
+  const double size = flow.metadata.prompt->tokens + kOutputWeight * flow.metadata.prompt->output_tokens;
   RouteStatistics& sizes = route_statistics_[flow.route.name];
   sizes.mean_size += sizes.mean_size == 0 ? size : kStep * (size - sizes.mean_size);
   return std::min(kMax, kBase + (1 - kBase) * size / std::max(1.0, sizes.mean_size));
@@ -37,8 +37,8 @@
   prompt.arrived = flow.arrived;
   prompt.ends = flow.expires_at;
   prompt.route_priority = flow.route.priority;
-  prompt.worth = flow.value;
-  prompt.prefill_cost_ms = std::max(1.0, selector_.MinPrefillMs(engines_, flow.service, *flow.facts.prompt, now_));
+  prompt.prompt_value = flow.value;
+  prompt.prefill_cost_ms = std::max(1.0, selector_.MinPrefillMs(engines_, flow.service, *flow.metadata.prompt, now_));
   const double decode_start =
       state.decode_start_ms > 0 ? state.decode_start_ms : parameters_.initial_decode_start_share * ObjectiveMs(flow);
   const double mean_ms = ToSeconds(state.prefill_window.mean_latency()) * kInMilliseconds;
@@ -52,7 +52,7 @@
 // Returns false if the prompt cannot be prefilled separately.
 bool ServingCore::EnqueuePrefill(Flow& flow) {
   if (parameters_.prefill_order == admission::QueuePolicy::None) return StartPrefill(flow);
-  if (flow.prefills > 0 && retry_budget_share_.Left(flow.service, now_) < 1) return false;
+  if (flow.prefills > 0 && retry_budget_share_.Remaining(flow.service, now_) < 1) return false;
   if (!selector_.HasPrefillEngine(engines_, flow.service, flow.tried_engines)) return false;
   PrefillState& state = PrefillStateOf(flow.service);
   if (flow.value == 0) flow.value = ValueOf(flow);
@@ -134,12 +134,12 @@
   const bool extra = flow.prefills > 0;
   int& unsettled_calls = PrefillStateOf(flow.service).unsettled_calls;
   // A first prefill is charged to the retry budget only if it is refused.
-  const bool allowed = extra ? retry_budget_share_.Left(flow.service, now_) >= 1
+  const bool allowed = extra ? retry_budget_share_.Remaining(flow.service, now_) >= 1
                              : retry_budget_share_.MayStartUnsettled(flow.service, now_, unsettled_calls);
   if (!allowed) return false;
   EstimateUnreportedWork(flow.service);
-  EngineState* engine = selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kPrefill, *flow.facts.prompt,
-                                                      flow.tried_engines, now_);
+  EngineState* engine = selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kPrefill,
+                                                      *flow.metadata.prompt, flow.tried_engines, now_);
   if (engine == nullptr) return false;
   if (extra) ChargeRetryBudget(flow, ExtraArrival::kPrefillRetried);
   ++flow.prefills;
@@ -171,14 +171,14 @@
 
 // Prefills the prompt at a decode engine, which takes twice as long.
 bool ServingCore::StartOverflowPrefill(Flow& flow) {
-  if (flow.arrivals > 0 && retry_budget_share_.Left(flow.service, now_) < 1) return false;
-  EngineState* engine = selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kDecode, *flow.facts.prompt,
-                                                      flow.tried_engines, now_);
+  if (flow.arrivals > 0 && retry_budget_share_.Remaining(flow.service, now_) < 1) return false;
+  EngineState* engine = selector_.ChoosePrefillEngine(engines_, flow.service, EngineStage::kDecode,
+                                                      *flow.metadata.prompt, flow.tried_engines, now_);
   if (engine == nullptr || engine->IsOutOfService(now_)) return false;
   if (selector_.EstimatedLoad(*engine, now_) > parameters_.overflow_max_utilization * engine->record.slots)
     return false;
   constexpr double kDecodePrefillSlowdown = 2;
-  const int tokens = UnsharedTokens(*flow.facts.prompt);  // The shared parts are cached there or copied.
+  const int tokens = UnsharedTokens(*flow.metadata.prompt);  // The shared parts are cached there or copied.
   const double prefill_ms = kDecodePrefillSlowdown * selector_.reading().predict_ms(tokens);
   if (prefill_ms > parameters_.overflow_prefill_share * ObjectiveMs(flow)) return false;
   if (flow.arrivals > 0) ChargeRetryBudget(flow, ExtraArrival::kExecutionRetried);
@@ -203,7 +203,7 @@
       continue;
     }
     if (measured && DispatchOverLimit(*flow, state)) continue;
-    MeterPrefillDemand(*flow, UnsharedTokens(*flow->facts.prompt), true);
+    MeterPrefillDemand(*flow, UnsharedTokens(*flow->metadata.prompt), true);
     Refuse(*flow, "no prefill capacity", JitteredRetryAfter(*flow));
   }
 }
--- a/src/core/serving/retry_budget_share.h
+++ b/src/core/serving/retry_budget_share.h
@@ -54,9 +54,11 @@
     nodes_ = counts_.Get();
   }
 
-  void NoteRequest(const std::string& service, Time now) { PrunedUsage(service, now).requests.push_back(now); }
+  void RecordRequest(const std::string& service, Time now) { PrunedUsage(service, now).requests.push_back(now); }
   // Charges an extra arrival without checking the budget.
-  void RecordExtraArrival(const std::string& service, Time now) { PrunedUsage(service, now).extras.push_back(now); }
+  void RecordExtraArrival(const std::string& service, Time now) {
+    PrunedUsage(service, now).extra_arrivals.push_back(now);
+  }
 
   // Charges one extra arrival; returns false if the share of this window, less the expected charges of
   // `unsettled_calls` calls, is spent.
@@ -67,14 +69,14 @@
   }
   // The same check without the charge.
   bool MayTake(const std::string& service, Time now, int unsettled_calls) {
-    return Left(service, now) >= 1 + usage_[service].refusal_rate * unsettled_calls;
+    return Remaining(service, now) >= 1 + usage_[service].refusal_rate * unsettled_calls;
   }
 
   // Whether one more call may be sent that is charged only if it is refused, with `unsettled_calls` such calls in
   // flight: the expected charges, by the recent share of refusals, must be covered.
   bool MayStartUnsettled(const std::string& service, Time now, int unsettled_calls) {
     const double expected = usage_[service].refusal_rate * (unsettled_calls + 1);
-    return Left(service, now) >= expected;
+    return Remaining(service, now) >= expected;
   }
   // Records the outcome of such a call. The average rises quickly with refusals and decays slowly.
   void RecordSettledCall(const std::string& service, bool refused) {
@@ -85,15 +87,15 @@
   }
 
   // How many nodes share the slack: the maximum over the remembered windows.
-  int sharers() const { return nodes_; }
+  int sharing_nodes() const { return nodes_; }
 
   // Extra arrivals that may still be spent now.
-  double Left(const std::string& service, Time now) {
+  double Remaining(const std::string& service, Time now) {
     const Usage& usage = PrunedUsage(service, now);
     const double earned = bounds_.ratio * static_cast<double>(usage.requests.size());
     const double slack = now < slack_available_from_ ? 0 : bounds_.slack / (nodes_ + kUnseenNodes);
     const double allowed = bounds_.safety * (earned + slack);
-    return allowed - static_cast<double>(usage.extras.size());
+    return allowed - static_cast<double>(usage.extra_arrivals.size());
   }
 
  private:
@@ -102,7 +104,7 @@
 
   struct Usage {
     std::deque<Time> requests;
-    std::deque<Time> extras;
+    std::deque<Time> extra_arrivals;
     double refusal_rate = 0;  // Recent share of unsettled calls that were refused.
   };
 
@@ -110,7 +112,7 @@
     Usage& usage = usage_[service];
     const Time start = now - bounds_.window;
     while (!usage.requests.empty() && usage.requests.front() < start) usage.requests.pop_front();
-    while (!usage.extras.empty() && usage.extras.front() < start) usage.extras.pop_front();
+    while (!usage.extra_arrivals.empty() && usage.extra_arrivals.front() < start) usage.extra_arrivals.pop_front();
     return usage;
   }
 
--- a/src/core/serving/retry_budget_steps.cc
+++ b/src/core/serving/retry_budget_steps.cc
@@ -9,7 +9,7 @@
   retry_budget_share_.RecordExtraArrival(flow.service, now_);
   Log(EventId::kExtraArrival, &flow,
       fmt::format(R"("service":"{}","cause":"{}","allowance":{:.1f},"sharers":{})", flow.service, NameOf(cause),
-                  retry_budget_share_.Left(flow.service, now_), retry_budget_share_.sharers()));
+                  retry_budget_share_.Remaining(flow.service, now_), retry_budget_share_.sharing_nodes()));
   actions_->push_back(ExtraArrivalCounted{flow.service, cause});
 }
 
--- a/src/core/serving/role_controller.cc
+++ b/src/core/serving/role_controller.cc
@@ -57,13 +57,13 @@
     order_crashes_.RecordCrash(order, engine_id, now, now);
     actions.push_back(LogRole{EventId::kEngineEnded,
                               fmt::format(R"("engine":"{}","ordered_to":"{}","ends_under_the_order":{},"paused":{})",
-                                          engine_id, StageName(ordered.stage), order_crashes_.Ends(order),
+                                          engine_id, StageName(ordered.stage), order_crashes_.CrashCount(order),
                                           order_crashes_.QuarantineRemaining(order, now).has_value())});
   }
   if (is_gone) return true;
   ordered.was_leaving = ordered.was_leaving || known->second.record.leaving;
   if (known->second.changing_until == Time{}) {
-    order_crashes_.NoteServed(OrderKey(ordered.service, ordered.stage), now);
+    order_crashes_.RecordSuccess(OrderKey(ordered.service, ordered.stage), now);
     return true;
   }
   return now >= ordered.until;
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -72,8 +72,8 @@
 }
 
 void ServingCore::On(const StoreConnectivityChanged& event) {
-  if (store_connected_ == event.in_contact) return;
-  store_connected_ = event.in_contact;
+  if (store_connected_ == event.connected) return;
+  store_connected_ = event.connected;
   Log(EventId::kStoreContact, nullptr, fmt::format(R"("in_contact":{})", store_connected_));
 }
 
@@ -102,7 +102,7 @@
   dispatch_pending_ = true;
 }
 
-std::vector<EngineWork> ServingCore::OwnWork(Time now) {
+std::vector<EngineWork> ServingCore::LocalWork(Time now) {
   std::vector<EngineWork> all;
   for (const auto& [id, known] : engines_.all()) {
     EngineState& engine = *engines_.Find(id);
@@ -115,7 +115,7 @@
   return all;
 }
 
-std::vector<ServiceDemand> ServingCore::OwnDemand(Time now) {
+std::vector<ServiceDemand> ServingCore::LocalDemand(Time now) {
   std::vector<ServiceDemand> demand;
   for (auto& [service, meter] : demand_) {
     const auto state = prefill_states_.find(service);
@@ -152,7 +152,7 @@
   const double slots = std::max(1.0, parameters_.target_utilization * traits.slots);
   const double kv_capacity =
       std::max(1.0, parameters_.target_utilization * static_cast<double>(traits.kv_capacity_tokens));
-  const double share = std::max(1.0 / slots, flow.facts.prompt->tokens / kv_capacity);
+  const double share = std::max(1.0 / slots, flow.metadata.prompt->tokens / kv_capacity);
   DemandMeter& meter = demand_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
   meter.decode.Add(share * ToSeconds(now_ - attempt.sent_at), now_);
 }
@@ -173,12 +173,12 @@
   auto new_flow = std::make_unique<Flow>();
   Flow& flow = *new_flow;
   flow.id = event.flow;
-  flow.facts = event.facts;
+  flow.metadata = event.metadata;
   flow.arrived = now_;
-  flow.last_event_id = event.facts.last_event_id;
+  flow.last_event_id = event.metadata.last_event_id;
   flows_[flow.id] = std::move(new_flow);
   if (!ready()) return Refuse(flow, "no configuration received yet");
-  const Route* route = config_->FindRoute(event.facts.host, event.facts.path);
+  const Route* route = config_->FindRoute(event.metadata.host, event.metadata.path);
   if (route == nullptr) {
     // Only a node that is connected to the store can tell that a route does not exist.
     return store_connected_ ? Fail(flow, kNotFound, "no route")
@@ -186,12 +186,12 @@
   }
   flow.route = *route;
   if (!Authenticate(flow)) return;
-  if (flow.facts.fingerprint != 0) flow.fingerprint = HashPair(flow.facts.fingerprint, HashText(flow.tenant));
+  if (flow.metadata.fingerprint != 0) flow.fingerprint = HashPair(flow.metadata.fingerprint, HashText(flow.tenant));
   if (RefuseIfQuarantined(flow)) return;
   flow.service = ChooseService(*route);
   const Service* service = config_->FindService(flow.service);
-  flow.language = service != nullptr && service->language && flow.facts.prompt;
-  const Duration time_limit = std::min(route->timeout, event.facts.deadline.value_or(route->timeout));
+  flow.language = service != nullptr && service->language && flow.metadata.prompt;
+  const Duration time_limit = std::min(route->timeout, event.metadata.deadline.value_or(route->timeout));
   flow.expires_at =
       now_ +
       std::max(1ms, std::chrono::duration_cast<std::chrono::milliseconds>(time_limit - parameters_.response_margin));
@@ -203,14 +203,14 @@
 
 bool ServingCore::Authenticate(Flow& flow) {
   constexpr int kUnauthorized = 401;
-  const std::string key = std::exchange(flow.facts.api_key, "");
+  const std::string key = std::exchange(flow.metadata.api_key, "");
   if (!config_->requires_keys) return true;
   if (key.empty() && flow.route.allows_anonymous) return true;
   const Tenant* tenant = tenants_.FindByKey(key);
   if (tenant != nullptr) {
     flow.tenant = tenant->name;
     flow.route.priority = tenant->priority.value_or(flow.route.priority);
-    if (tenant->limit && tenant->limit->rate_per_s > 0) flow.limit_cost = CostOf(*tenant->limit, flow.facts);
+    if (tenant->limit && tenant->limit->rate_per_s > 0) flow.limit_cost = CostOf(*tenant->limit, flow.metadata);
     return true;
   }
   // An unknown key may have been issued since this node last received a configuration; a missing key is always an
@@ -391,7 +391,7 @@
   if (flow != nullptr && flow->fingerprint != 0) {
     details += fmt::format(R"(,"fingerprint":"{:016x}")", flow->fingerprint);
   }
-  actions_->push_back(LogDecision{event, flow == nullptr ? "" : flow->facts.request_id, std::move(details)});
+  actions_->push_back(LogDecision{event, flow == nullptr ? "" : flow->metadata.request_id, std::move(details)});
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/serving_core.h
+++ b/src/core/serving/serving_core.h
@@ -50,7 +50,7 @@
 
 struct Flow {
   FlowId id = 0;
-  RequestMetadata facts;
+  RequestMetadata metadata;
   Route route;  // The route at the time of arrival.
   std::string service;
   std::string tenant;  // Empty for an anonymous client.
@@ -140,8 +140,8 @@
   EngineSelector& selector() { return selector_; }
   CrashLedger& crashes() { return crashes_; }
   // This node's work and demand, for its report to the peers.
-  std::vector<EngineWork> OwnWork(Time now);
-  std::vector<ServiceDemand> OwnDemand(Time now);
+  std::vector<EngineWork> LocalWork(Time now);
+  std::vector<ServiceDemand> LocalDemand(Time now);
 
  private:
   void On(const ConfigurationChanged& event);
@@ -236,7 +236,7 @@
   // The request's crash count grew: if it is quarantined now, logs that and terminates its flows.
   void OnCrashCountIncreased(std::uint64_t fingerprint, std::string_view source);
   void TerminateQuarantined(Flow& flow, Duration remaining);
-  void NoteServed(const Flow& flow);
+  void RecordSuccess(const Flow& flow);
 
   // Terminating a flow.
   void Refuse(Flow& flow, std::string_view cause);
--- a/src/core/serving/timeout_steps.cc
+++ b/src/core/serving/timeout_steps.cc
@@ -67,7 +67,7 @@
   // After an abandoned prefill the prompt can be sent whole to a decode engine. That is the request's first arrival,
   // which is not charged to the retry budget.
   if (attempt.mode == AttemptMode::kPrefill && flow.arrivals == 0) return true;
-  if (retry_budget_share_.Left(flow.service, now_) < 1) return false;
+  if (retry_budget_share_.Remaining(flow.service, now_) < 1) return false;
   if (attempt.mode == AttemptMode::kPrefill) return true;
   return unresponsive && flow.route.kind == RouteKind::kStreaming && MayExecuteAgain(flow);
 }
--- a/src/duties/fleet_clock.cc
+++ b/src/duties/fleet_clock.cc
@@ -18,7 +18,7 @@
 
 }
 
-void FleetClock::record_own_clock(Time now, WallTime wall)
+void FleetClock::record_local_clock(Time now, WallTime wall)
 {
     local_offset_ = offset_of(now, wall);
     std::erase_if(peers_, [&](auto const& entry) { return now - entry.second.at > sample_retention; });
@@ -49,6 +49,6 @@
     return WallTime(std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()) + median_offset(now));
 }
 
-std::chrono::milliseconds FleetClock::own_clock_error(Time now) const { return local_offset_ - median_offset(now); }
+std::chrono::milliseconds FleetClock::local_clock_error(Time now) const { return local_offset_ - median_offset(now); }
 
 }
--- a/src/duties/usage_aggregator.cc
+++ b/src/duties/usage_aggregator.cc
@@ -4,7 +4,7 @@
 
 namespace saltquay::duties {
 
-void UsageAggregator::note(serving::PeerReport const& report, Time now)
+void UsageAggregator::record_usage(serving::PeerReport const& report, Time now)
 {
     if (report.node.empty())
         return;
@@ -55,7 +55,7 @@
         [&](auto const& entry) { return entry.first.second <= milliseconds; });
 }
 
-void UsageAggregator::forget(Time now, std::int64_t before_window)
+void UsageAggregator::discard(Time now, std::int64_t before_window)
 {
     for (auto& [incarnation, contribution] : incarnations_)
         std::erase_if(contribution.counts, [&](auto const& entry) { return entry.first < before_window; });
--- a/src/duties/usage_counter.cc
+++ b/src/duties/usage_counter.cc
@@ -2,7 +2,7 @@
 
 namespace saltquay::duties {
 
-void UsageCounter::note(std::string_view tenant, WallTime began, Time now)
+void UsageCounter::record_usage(std::string_view tenant, WallTime began, Time now)
 {
     auto& counts = counts_[windows_.number_at(began)];
     auto entry = counts.find(tenant);
@@ -24,6 +24,6 @@
     return changed;
 }
 
-void UsageCounter::forget_before(std::int64_t window) { counts_.erase(counts_.begin(), counts_.lower_bound(window)); }
+void UsageCounter::discard_before(std::int64_t window) { counts_.erase(counts_.begin(), counts_.lower_bound(window)); }
 
 }
--- a/src/gateway/engine_protocol.cc
+++ b/src/gateway/engine_protocol.cc
@@ -88,7 +88,8 @@
   if (!attempt.last_event_id.empty()) head.fields.Add(names_.last_event_id, attempt.last_event_id);
   if (attempt.mode == serving::AttemptMode::kPrefill) head.fields.Add(names_.stage, names_.stage_prefill);
   if (!attempt.copy_from.empty()) head.fields.Add(names_.copy_source, attempt.copy_from);
-  if (attempt.memory) head.fields.Add(names_.kv_source, attempt.memory->address + "/" + attempt.memory->handle);
+  if (attempt.kv_cache_source)
+    head.fields.Add(names_.kv_source, attempt.kv_cache_source->address + "/" + attempt.kv_cache_source->handle);
   return head;
 }
 
@@ -118,11 +119,11 @@
   return handle.is_string() ? handle.get<std::string>() : "";
 }
 
-http::RequestHead EngineProtocol::MakeKvRelease(const serving::KvCacheSource& memory) const {
+http::RequestHead EngineProtocol::MakeKvRelease(const serving::KvCacheSource& kv_cache_source) const {
   http::RequestHead head;
   head.method = "DELETE";
-  head.target = names_.release_path + memory.handle;
-  head.fields.Add("Host", memory.address);
+  head.target = names_.release_path + kv_cache_source.handle;
+  head.fields.Add("Host", kv_cache_source.address);
   return head;
 }
 
--- a/src/gateway/engine_protocol.h
+++ b/src/gateway/engine_protocol.h
@@ -64,7 +64,7 @@
   bool IsResponseTo(const http::ResponseHead& head, std::string_view request_id) const;
   // Returns the KV cache handle from the body of a prefill response; empty if there is none.
   std::string DecodeKvHandle(const std::string& body) const;
-  http::RequestHead MakeKvRelease(const serving::KvCacheSource& memory) const;
+  http::RequestHead MakeKvRelease(const serving::KvCacheSource& kv_cache_source) const;
 
   http::RequestHead MakeStateRead(const serving::ReadEngineState& action) const;
   // Returns nullopt if the body does not decode.
--- a/src/gateway/fleet_coordinator.cc
+++ b/src/gateway/fleet_coordinator.cc
@@ -114,8 +114,8 @@
   report.boot = incarnation_;
   report.sequence = ++sequence_;
   report.stopping = stopping_;
-  report.work = gateway_.core().OwnWork(now);
-  report.demand = OwnDemand();
+  report.work = gateway_.core().LocalWork(now);
+  report.demand = LocalDemand();
   report.holds = roles_.Holds(now);
   report.kept = gateway_.core().selector().CacheUpdatesSince(
       now - (in_digests ? kDigestCacheUpdateRepeatTime : kCacheUpdateRepeatTime));
@@ -238,7 +238,7 @@
   changed.nodes = static_cast<int>(Members().size()) + 1;
   changed.work = peers_.WorkByEngine();
   changed.holds = peers_.Holds();
-  for (const serving::ServiceDemand& own : gateway_.core().OwnDemand(gateway_.Now())) {
+  for (const serving::ServiceDemand& own : gateway_.core().LocalDemand(gateway_.Now())) {
     changed.demand.push_back(peers_.Demand(own.service));
   }
 }
@@ -350,8 +350,8 @@
   if (mark.revision > 0) lease_.OnPeerRecord({mark.holder, mark.address, 0, 0, mark.revision}, gateway_.Now());
 }
 
-std::vector<serving::ServiceDemand> FleetCoordinator::OwnDemand() {
-  std::vector<serving::ServiceDemand> demand = gateway_.core().OwnDemand(gateway_.Now());
+std::vector<serving::ServiceDemand> FleetCoordinator::LocalDemand() {
+  std::vector<serving::ServiceDemand> demand = gateway_.core().LocalDemand(gateway_.Now());
   const serving::Topology& topology = gateway_.core().selector().topology();
   if (!topology.HasMultipleRegions()) return demand;
   for (serving::ServiceDemand& own : demand) own.region = topology.OwnRegion();
@@ -360,7 +360,7 @@
 
 serving::DemandSum FleetCoordinator::TotalDemand() {
   serving::DemandSum total;
-  total.Add(OwnDemand());
+  total.Add(LocalDemand());
   const serving::PeerReport* digest = fleet_.View(gateway_.Now());
   total.Add(digest != nullptr ? digest->demand : peers_.Demands());
   return total;
--- a/src/gateway/fleet_coordinator.h
+++ b/src/gateway/fleet_coordinator.h
@@ -57,7 +57,7 @@
   // Live members: peers that reported themselves; in a large fleet also those listed in other nodes' reports.
   std::vector<serving::PeerNode> Members() const;
   // Demand of this node's clients, and of the clients of all nodes.
-  std::vector<serving::ServiceDemand> OwnDemand();
+  std::vector<serving::ServiceDemand> LocalDemand();
   serving::DemandSum TotalDemand();
   // Whether this node may plan engine roles for the fleet.
   bool IsCandidate(const std::vector<serving::PeerNode>& members);
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -108,9 +108,9 @@
   const serving::FlowId id = ++last_flow_;
   serving::RequestArrived arrived;
   arrived.flow = id;
-  arrived.facts = protocol_.DecodeRequest(exchange->head);
-  arrived.facts.fingerprint = FingerprintRequest(exchange->head, exchange->body, fingerprint_key_);
-  flows_[id] = ActiveFlow{exchange, arrived.facts.request_id, Now(), false, false};
+  arrived.metadata = protocol_.DecodeRequest(exchange->head);
+  arrived.metadata.fingerprint = FingerprintRequest(exchange->head, exchange->body, fingerprint_key_);
+  flows_[id] = ActiveFlow{exchange, arrived.metadata.request_id, Now(), false, false};
   exchange->on_client_left = [this, id] {
     if (flows_.erase(id) > 0) Dispatch(serving::ClientDisconnected{id});
   };
@@ -272,7 +272,7 @@
 }
 
 void Gateway::Perform(const serving::ReleaseKvCache& action) {
-  const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(action.memory.address);
+  const absl::StatusOr<http::Endpoint> endpoint = http::ParseEndpoint(action.kv_cache_source.address);
   if (!endpoint.ok()) return;
   const std::uint64_t id = ++last_release_;
   const auto finish = [this, id] { releases_.erase(id); };
@@ -281,8 +281,9 @@
   handlers.on_failure = [finish](http::CallFailure /*failure*/) { finish(); };
   http::CallOptions options;
   options.connect_timeout = kReleaseConnectTimeout;
-  releases_[id] = client_.Start(*endpoint, PoolOf(action.memory.address, action.memory.engine_id),
-                                http::SerializeRequest(protocol_.MakeKvRelease(action.memory), ""), options, handlers);
+  releases_[id] =
+      client_.Start(*endpoint, PoolOf(action.kv_cache_source.address, action.kv_cache_source.engine_id),
+                    http::SerializeRequest(protocol_.MakeKvRelease(action.kv_cache_source), ""), options, handlers);
 }
 
 void Gateway::Perform(const serving::ExecutionStarted& action) {
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -37,7 +37,7 @@
            .Register(*registry_);
   aborted_streams_ =
       &counter("saltquay_streams_broken_off_total", "Client streams aborted before their last event")->Add({});
-  engine_ends_ =
+  engine_crash_times_ =
       &counter("saltquay_engine_ends_total", "Engines that crashed while running requests of this node")->Add({});
   response_seconds_ =
       histogram("saltquay_answer_seconds", "Time from the arrival of a request to its complete response");
--- a/src/gateway/gateway_metrics.h
+++ b/src/gateway/gateway_metrics.h
@@ -34,7 +34,7 @@
   void SetState(double config_version, double engines, double open_requests, double log_dropped);
   // `in_quarantine`: requests currently not sent to engines; `remembered`: entries in the crash ledger.
   void SetQuarantineCounts(double in_quarantine, double remembered);
-  void CountEngineEnd() { engine_ends_->Increment(); }
+  void CountEngineEnd() { engine_crash_times_->Increment(); }
   // Copies the totals of `traffic` into the counters.
   void SetTraffic(const TrafficMeter& traffic);
   // Exports the tenants with the most refused units as separate series and aggregates the others.
@@ -57,7 +57,7 @@
   prometheus::Family<prometheus::Gauge>* limit_units_;
   std::vector<prometheus::Gauge*> limit_series_;  // Registered by the last call of SetLimits.
   prometheus::Counter* aborted_streams_;
-  prometheus::Counter* engine_ends_;
+  prometheus::Counter* engine_crash_times_;
   prometheus::Histogram* response_seconds_;
   prometheus::Histogram* first_event_seconds_;
   prometheus::Histogram* digest_age_seconds_;
--- a/src/gateway/gateway_settings.cc
+++ b/src/gateway/gateway_settings.cc
@@ -59,7 +59,7 @@
   crashes.quarantine_threshold =
       static_cast<int>(policy.Integer("quarantine_ends", 1, 1000, crashes.quarantine_threshold));
   crashes.quarantine = FromSeconds(policy.Number("quarantine_s", 0, 3600, ToSeconds(crashes.quarantine)));
-  crashes.memory = std::max(crashes.memory, 2 * crashes.quarantine);
+  crashes.retention = std::max(crashes.retention, 2 * crashes.quarantine);
   settings.initial_prefill_share = policy.Number("initial_prefill_share", 0, 1, settings.initial_prefill_share);
   settings.parameters.max_unsplit_prompt_tokens = static_cast<int>(
       policy.Integer("whole_prompt_tokens", 0, 1000000, settings.parameters.max_unsplit_prompt_tokens));
--- a/src/gateway/leader_duties.cc
+++ b/src/gateway/leader_duties.cc
@@ -63,11 +63,11 @@
 
 void LeaderDuties::OnExecutionStarted(const serving::ExecutionStarted& execution) {
   if (!is_enabled() || execution.tenant.empty()) return;
-  counter_.note(execution.tenant, clock_.at(execution.began), gateway_.Now());
+  counter_.record_usage(execution.tenant, clock_.at(execution.began), gateway_.Now());
 }
 
 void LeaderDuties::OnUsage(const serving::PeerReport& report) {
-  aggregator_.note(report, gateway_.Now());
+  aggregator_.record_usage(report, gateway_.Now());
   OnClock(report);
 }
 
@@ -93,13 +93,13 @@
 void LeaderDuties::Tick(const std::vector<serving::PeerNode>& members,
                         const std::map<std::string, serving::ServiceDemand>& demand, const SendMessages& send) {
   const Time now = gateway_.Now();
-  clock_.record_own_clock(now, duties::WallTime(std::chrono::milliseconds(UnixMilliseconds())));
+  clock_.record_local_clock(now, duties::WallTime(std::chrono::milliseconds(UnixMilliseconds())));
   if (!is_enabled()) return;
   UpdateRank(members);
   const std::int64_t window = windows_.number_at(clock_.at(now));
   if (first_window_ == 0) first_window_ = window;
-  counter_.forget_before(window - kRetainedWindows);
-  aggregator_.forget(now, window - kRetainedWindows);
+  counter_.discard_before(window - kRetainedWindows);
+  aggregator_.discard(now, window - kRetainedWindows);
   if (settings_.duties.reports_usage) {
     SendUsageCounts(send);
     RunUsageReporter();
@@ -107,7 +107,7 @@
   if (settings_.duties.orders_engines) RunCapacityController(demand);
   gateway_.metrics().SetDuties(static_cast<double>(reporter_.last_sealed_window().value_or(0)),
                                static_cast<double>(reporter_.unacknowledged_reports()),
-                               ToSeconds(std::chrono::duration_cast<Duration>(clock_.own_clock_error(now))));
+                               ToSeconds(std::chrono::duration_cast<Duration>(clock_.local_clock_error(now))));
 }
 
 std::int64_t LeaderDuties::ClosedThrough() const {
@@ -156,7 +156,7 @@
   std::vector<serving::FleetMessage> messages;
   const std::vector<std::string> receivers = UsageReceivers();
   for (serving::PeerReport& report : LocalUsageReports(counts)) {
-    aggregator_.note(report, now);
+    aggregator_.record_usage(report, now);
     messages.push_back({receivers, std::move(report)});
   }
   if (new_holder) {
--- a/src/limits/distributed_limiter.cc
+++ b/src/limits/distributed_limiter.cc
@@ -136,7 +136,7 @@
     message.key = { incarnation_hash_, ++last_charge_ };
     auto const known = tenants_.find(tenant);
     auto const name = known == tenants_.end() ? std::string() : known->second.name;
-    output_.changes.push_back({ OwnershipChange::Kind::HandedOver, name, to->node.name, message.level });
+    output_.changes.push_back({ OwnershipChange::Kind::HandedOff, name, to->node.name, message.level });
     send(to->node.address, message);
 }
 
--- a/tests/admission/concurrency_window_test.cc
+++ b/tests/admission/concurrency_window_test.cc
@@ -61,7 +61,7 @@
 {
     window_.set_capacity(6, 0.1, 0);
     fill();
-    EXPECT_EQ(window_.under_way(), 28); // 0.6 of 6 engines with 8 prompts each.
+    EXPECT_EQ(window_.in_flight(), 28); // 0.6 of 6 engines with 8 prompts each.
     window_.set_capacity(6, 0.1, 20);
     EXPECT_FALSE(window_.has_room());
 }
--- a/tests/admission/prefill_time_model_test.cc
+++ b/tests/admission/prefill_time_model_test.cc
@@ -25,7 +25,7 @@
         auto const tokens = random.Unit() < 0.3 ? 500 : 4000 + static_cast<std::int64_t>(random.Below(8000));
         auto const slowed = random.Unit() < 0.5 ? 1.0 : 1.5;
         auto const milliseconds = 6 + slowed * static_cast<double>(tokens) / 200;
-        model.note(tokens, FromSeconds(milliseconds / 1000));
+        model.record_sample(tokens, FromSeconds(milliseconds / 1000));
     }
     EXPECT_NEAR(model.rate(), 200, 40);
     EXPECT_NEAR(model.fixed_overhead_ms(), 8.5, 4);
@@ -35,8 +35,8 @@
 TEST(PrefillTimeModelTest, IgnoresSamplesWithoutSizeOrTime)
 {
     PrefillTimeModel model { PrefillTimeModelParameters {} };
-    model.note(0, 5ms);
-    model.note(100, 0ms);
+    model.record_sample(0, 5ms);
+    model.record_sample(100, 0ms);
     EXPECT_FALSE(model.learned());
 }
 
--- a/tests/core/serving/crash_ledger_test.cc
+++ b/tests/core/serving/crash_ledger_test.cc
@@ -44,21 +44,21 @@
   const std::vector<CrashMark> crash_marks = {Crash(kRequest, 1), Crash(kRequest, 2), Crash(kRequest, 3)};
   ledger.Merge(crash_marks, kNow);
   other.Merge(crash_marks, kNow);
-  EXPECT_TRUE(ledger.NoteServed(kRequest, kNow + 1s));
+  EXPECT_TRUE(ledger.RecordSuccess(kRequest, kNow + 1s));
   EXPECT_FALSE(ledger.QuarantineRemaining(kRequest, kNow + 1s).has_value());
   other.Merge(ledger.MarksToReport(kNow + 1s), kNow + 1s);
   EXPECT_FALSE(other.QuarantineRemaining(kRequest, kNow + 1s).has_value());
   // Earlier crashes that a third node still reports no longer count.
   ledger.Merge(std::vector{Crash(kRequest, 1, 2s), Crash(kRequest, 2, 2s), Crash(kRequest, 3, 2s)}, kNow + 2s);
-  EXPECT_EQ(ledger.Ends(kRequest), 0);
-  EXPECT_FALSE(ledger.NoteServed(kRequest, kNow + 3s));
+  EXPECT_EQ(ledger.CrashCount(kRequest), 0);
+  EXPECT_FALSE(ledger.RecordSuccess(kRequest, kNow + 3s));
 }
 
 TEST(CrashLedgerTest, ClearanceReportedBackAndForthIsNewOnlyOnce) {
   CrashLedger first{CrashLedgerParameters{}};
   CrashLedger second{CrashLedgerParameters{}};
   first.Merge(std::vector{Crash(kRequest, 1)}, kNow);
-  first.NoteServed(kRequest, kNow);
+  first.RecordSuccess(kRequest, kNow);
   Time now = kNow;
   int new_marks = 0;
   for (int round = 0; round < 100; ++round, now += 100ms) {
@@ -101,7 +101,7 @@
     ledger.Merge(std::vector{Crash(kRequest, 1, earlier_first ? 9s : 3s)}, kNow);
     ledger.Merge(std::vector{Crash(kRequest, 1, earlier_first ? 3s : 9s)}, kNow);
     ledger.Merge(std::vector{CrashMark{kRequest, EngineKey{}, 6s}}, kNow);
-    EXPECT_EQ(ledger.Ends(kRequest), 1);
+    EXPECT_EQ(ledger.CrashCount(kRequest), 1);
   }
 }
 
@@ -134,10 +134,10 @@
   FlowId ArriveWithFingerprint(const std::string& route, std::uint64_t fingerprint) {
     RequestArrived arrived;
     arrived.flow = ++last_flow_;
-    arrived.facts.request_id = "r" + std::to_string(last_flow_);
-    arrived.facts.host = "h.example";
-    arrived.facts.path = "/" + route + "/x";
-    arrived.facts.fingerprint = fingerprint;
+    arrived.metadata.request_id = "r" + std::to_string(last_flow_);
+    arrived.metadata.host = "h.example";
+    arrived.metadata.path = "/" + route + "/x";
+    arrived.metadata.fingerprint = fingerprint;
     Send(arrived);
     return last_flow_;
   }
@@ -197,7 +197,7 @@
   Fail(start, AttemptFailure::kBroken);
   EXPECT_EQ(One<ProbeEngine>().engine_id, start.engine_id);
   Send(EngineProbed{start.engine_id, EngineProbeOutcome::kRefused});
-  EXPECT_EQ(core_.crashes().Ends(Fingerprint(kRequest)), 1);
+  EXPECT_EQ(core_.crashes().CrashCount(Fingerprint(kRequest)), 1);
 }
 
 TEST_F(QuarantineTest, RequestThatSucceedsIsCleared) {
@@ -206,9 +206,9 @@
   Fail(first, AttemptFailure::kBroken);
   const auto second = One<StartAttempt>();
   Send(EngineProbed{first.engine_id, EngineProbeOutcome::kRefused});
-  EXPECT_EQ(core_.crashes().Ends(Fingerprint(kRequest)), 1);
+  EXPECT_EQ(core_.crashes().CrashCount(Fingerprint(kRequest)), 1);
   Answer(second, 200);
-  EXPECT_EQ(core_.crashes().Ends(Fingerprint(kRequest)), 0);
+  EXPECT_EQ(core_.crashes().CrashCount(Fingerprint(kRequest)), 0);
 }
 
 }  // namespace
--- a/tests/core/serving/engine_selection_test.cc
+++ b/tests/core/serving/engine_selection_test.cc
@@ -125,11 +125,11 @@
   RetryBudgetShare budget_share(RetryBudgetBounds{0, 10s, 630, 0.8, 3});
   budget_share.set_nodes(295, Time{1s});
   budget_share.set_nodes(100, Time{3s});
-  EXPECT_LT(budget_share.Left("s", Time{9s}), 2);
+  EXPECT_LT(budget_share.Remaining("s", Time{9s}), 2);
   budget_share.set_nodes(100, Time{30s});
-  EXPECT_LT(budget_share.Left("s", Time{30s}), 2);
+  EXPECT_LT(budget_share.Remaining("s", Time{30s}), 2);
   budget_share.set_nodes(100, Time{32s});
-  EXPECT_GT(budget_share.Left("s", Time{32s}), 4);
+  EXPECT_GT(budget_share.Remaining("s", Time{32s}), 4);
 }
 
 TEST(RetryBudgetShareTest, ARestartedProcessGetsNoShareOfTheSlackForAWindow) {
@@ -137,7 +137,7 @@
   budget_share.BeginAfterRestart(Time{1s});
   budget_share.set_nodes(1, Time{1s});
   EXPECT_FALSE(budget_share.TryTake("s", Time{2s}));
-  for (int i = 0; i < 2; ++i) budget_share.NoteRequest("s", Time{2s});
+  for (int i = 0; i < 2; ++i) budget_share.RecordRequest("s", Time{2s});
   EXPECT_TRUE(budget_share.TryTake("s", Time{2s}));
   EXPECT_FALSE(budget_share.TryTake("s", Time{10s}));
   EXPECT_TRUE(budget_share.TryTake("s", Time{11s}));
@@ -149,18 +149,18 @@
   std::vector<RetryBudgetShare> budget_shares(static_cast<std::size_t>(nodes), RetryBudgetShare(bounds));
   for (RetryBudgetShare& budget_share : budget_shares) budget_share.set_nodes(nodes, Time{1s});
   int requests = 0;
-  int extras = 0;
+  int extra_arrivals = 0;
   const int events = *rc::gen::inRange(0, 400);
   for (int i = 0; i < events; ++i) {
     RetryBudgetShare& budget_share = budget_shares[static_cast<std::size_t>(*rc::gen::inRange(0, nodes))];
     if (*rc::gen::inRange(0, 3) == 0) {
-      budget_share.NoteRequest("s", Time{1s});
+      budget_share.RecordRequest("s", Time{1s});
       ++requests;
     } else if (budget_share.TryTake("s", Time{1s})) {
-      ++extras;
+      ++extra_arrivals;
     }
   }
-  RC_ASSERT(extras <= bounds.ratio * requests + bounds.slack);
+  RC_ASSERT(extra_arrivals <= bounds.ratio * requests + bounds.slack);
 }
 
 TEST(RetryBudgetShareTest, RetriesOlderThanTheWindowExpire) {
--- a/tests/core/serving/flow_test.cc
+++ b/tests/core/serving/flow_test.cc
@@ -130,7 +130,7 @@
   const auto decode = One<StartAttempt>();
   EXPECT_EQ(decode.mode, AttemptMode::kContinue);
   EXPECT_EQ(decode.engine_id[0], 'd');
-  EXPECT_EQ(decode.memory->handle, "handle");
+  EXPECT_EQ(decode.kv_cache_source->handle, "handle");
   Head(decode, 200);
   EXPECT_EQ(One<BeginRelay>().attempt, decode.attempt);
   Send(AttemptCompleted{decode.flow, decode.attempt, ""});
@@ -156,7 +156,7 @@
   Answer(first, 421, true);
   const auto second = One<StartAttempt>();
   EXPECT_EQ(second.mode, AttemptMode::kContinue);
-  EXPECT_EQ(second.memory->handle, "handle");
+  EXPECT_EQ(second.kv_cache_source->handle, "handle");
   EXPECT_NE(second.engine_id, first.engine_id);
   EXPECT_GT(core_.engines().Find(first.engine_id)->ejected_until, now_);
 }
@@ -171,14 +171,14 @@
   Answer(first, 503, true);
   const auto second = One<StartAttempt>();
   EXPECT_EQ(second.mode, AttemptMode::kContinue);
-  ASSERT_TRUE(second.memory);
-  EXPECT_EQ(second.memory->handle, "handle");
+  ASSERT_TRUE(second.kv_cache_source);
+  EXPECT_EQ(second.kv_cache_source->handle, "handle");
   EXPECT_NE(second.engine_id, first.engine_id);
   EXPECT_TRUE(core_.engines().Find(first.engine_id)->IsOutOfService(now_));  // Backed off.
   EXPECT_FALSE(core_.engines().Find(first.engine_id)->IsOutOfService(now_ + 50ms));
   // Two engines refused it: the KV cache is presumed lost.
   Answer(second, 503, true);
-  EXPECT_EQ(One<ReleaseKvCache>().memory.handle, "handle");
+  EXPECT_EQ(One<ReleaseKvCache>().kv_cache_source.handle, "handle");
   EXPECT_EQ(One<StartAttempt>().mode, AttemptMode::kPrefill);
 }
 
@@ -216,7 +216,7 @@
   Arrive("lone", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
   Fail(One<StartAttempt>(), AttemptFailure::kNotSent);
-  EXPECT_EQ(One<StartAttempt>().memory->handle, "handle");
+  EXPECT_EQ(One<StartAttempt>().kv_cache_source->handle, "handle");
 }
 
 TEST_F(FlowTest, StartOfLeavingIsRemembered) {
--- a/tests/core/serving/poison_request_test.cc
+++ b/tests/core/serving/poison_request_test.cc
@@ -41,7 +41,7 @@
   }
   static PromptMetadata OrdinaryPrompt(int count) { return LongPrompt("s" + std::to_string(count % 7)); }
   static long LaterExecutions(const ServingFleet& fleet) {
-    const std::vector<Time>& crashes = fleet.engine_ends();
+    const std::vector<Time>& crashes = fleet.engine_crash_times();
     if (crashes.size() < kQuarantineThreshold) return 0;
     const Time known_at = crashes[kQuarantineThreshold - 1] + kPropagationTime;
     const auto& executions = fleet.poison_runs();
@@ -59,7 +59,7 @@
     fleet.SendPoisonRequests("chat", LongPrompt("own"), 300ms, fleet.now() + 12s);
     fleet.RunUntil(fleet.now() + 16s);
     EXPECT_LE(LaterExecutions(fleet), kMaxLaterExecutions)
-        << "seed " << seed << ", " << fleet.engine_ends().size() << " engines crashed";
+        << "seed " << seed << ", " << fleet.engine_crash_times().size() << " engines crashed";
   }
 }
 
@@ -71,12 +71,12 @@
     single_engine.record = MakeEngine("d0", "model", EngineStage::kUniform);
     single_engine.slots = 40;
     fleet.AddEngine(single_engine);
-    fleet.set_same_ids();
+    fleet.set_restart_with_same_ids();
     fleet.Begin();
     fleet.SendPoisonRequests("chat", LongPrompt("own"), 300ms, fleet.now() + 60s);
     fleet.RunUntil(fleet.now() + 64s);
     EXPECT_LE(LaterExecutions(fleet), kMaxLaterExecutions)
-        << "seed " << seed << ", " << fleet.engine_ends().size() << " incarnations crashed";
+        << "seed " << seed << ", " << fleet.engine_crash_times().size() << " incarnations crashed";
   }
 }
 
@@ -134,10 +134,10 @@
     // All decode engines are restarted without notice, first one after the other, then all at once.
     for (const char* engine : {"d5", "d6", "d7", "d8"}) {
       fleet.RunUntil(fleet.now() + 500ms);
-      fleet.EndEngine(engine);
+      fleet.KillEngine(engine);
     }
     fleet.RunUntil(fleet.now() + 6s);
-    for (const char* engine : {"d5+", "d6+", "d7+", "d8+"}) fleet.EndEngine(engine);
+    for (const char* engine : {"d5+", "d6+", "d7+", "d8+"}) fleet.KillEngine(engine);
     fleet.RunUntil(fleet.now() + 8s);
     EXPECT_TRUE(fleet.quarantined().empty()) << "seed " << seed;
   }
--- a/tests/core/serving/tenancy_test.cc
+++ b/tests/core/serving/tenancy_test.cc
@@ -23,13 +23,13 @@
   void ArriveWithKey(const std::string& route, const std::string& key,
                      std::optional<PromptMetadata> prompt = std::nullopt, std::uint64_t fingerprint = 0) {
     RequestArrived arrived;
-    arrived.facts.fingerprint = fingerprint;
+    arrived.metadata.fingerprint = fingerprint;
     arrived.flow = ++last_flow_;
-    arrived.facts.request_id = "r" + std::to_string(last_flow_);
-    arrived.facts.host = "h.example";
-    arrived.facts.path = "/" + route + "/x";
-    arrived.facts.api_key = key;
-    arrived.facts.prompt = std::move(prompt);
+    arrived.metadata.request_id = "r" + std::to_string(last_flow_);
+    arrived.metadata.host = "h.example";
+    arrived.metadata.path = "/" + route + "/x";
+    arrived.metadata.api_key = key;
+    arrived.metadata.prompt = std::move(prompt);
     Send(arrived);
   }
   std::string Log() const {
--- a/tests/duties/fleet_clock_test.cc
+++ b/tests/duties/fleet_clock_test.cc
@@ -23,13 +23,13 @@
 
 TEST_F(FleetClockTest, WithoutPeersTheLocalClockIsUsed)
 {
-    clock_.record_own_clock(now_, wall(5000));
+    clock_.record_local_clock(now_, wall(5000));
     EXPECT_EQ(clock_.at(now_ + 1s), wall(6000));
 }
 
 TEST_F(FleetClockTest, AMinorityOfWrongClocksHasNoEffect)
 {
-    clock_.record_own_clock(now_, wall(5000));
+    clock_.record_local_clock(now_, wall(5000));
     receive_clock(6, 5001);
     receive_clock(3, 3000);
     EXPECT_NEAR((clock_.at(now_) - wall(5000)).count(), 0, 1);
@@ -38,16 +38,16 @@
 TEST_F(FleetClockTest, MachineWhoseClockJumpsKeepsTheFleetsTime)
 {
     receive_clock(5, 5000);
-    clock_.record_own_clock(now_, wall(7000));
+    clock_.record_local_clock(now_, wall(7000));
     EXPECT_EQ(clock_.at(now_), wall(5000));
-    EXPECT_EQ(clock_.own_clock_error(now_).count(), 2000);
+    EXPECT_EQ(clock_.local_clock_error(now_).count(), 2000);
 }
 
 TEST_F(FleetClockTest, OldSamplesDoNotCount)
 {
     receive_clock(5, 5000);
     now_ += 20s;
-    clock_.record_own_clock(now_, wall(90000));
+    clock_.record_local_clock(now_, wall(90000));
     EXPECT_EQ(clock_.at(now_), wall(90000));
 }
 
--- a/tests/duties/usage_test.cc
+++ b/tests/duties/usage_test.cc
@@ -35,12 +35,12 @@
 TEST(UsageCounterTest, ReportsChangesAndDiscardsOldWindows)
 {
     UsageCounter counter(windows);
-    counter.note("a", wall(4000), Time { 1s });
-    counter.note("b", wall(5000), Time { 2s });
-    counter.note("b", wall(6000), Time { 3s });
+    counter.record_usage("a", wall(4000), Time { 1s });
+    counter.record_usage("b", wall(5000), Time { 2s });
+    counter.record_usage("b", wall(6000), Time { 3s });
     EXPECT_EQ(counter.all(), (std::vector<UsageCount> { { 0, "a", 1 }, { 1, "b", 2 } }));
     EXPECT_EQ(counter.counts_changed_since(Time { 2500ms }), (std::vector<UsageCount> { { 1, "b", 2 } }));
-    counter.forget_before(1);
+    counter.discard_before(1);
     EXPECT_EQ(counter.all(), (std::vector<UsageCount> { { 1, "b", 2 } }));
 }
 
@@ -52,24 +52,24 @@
 
 TEST_F(UsageAggregatorTest, IncarnationsAddUpAndReportsMayBeDuplicatedOrReordered)
 {
-    aggregator_.note(usage_report("n1", 1, 0, { { 7, "a", 5 } }), now_);
-    aggregator_.note(usage_report("n1", 1, 0, { { 7, "a", 3 } }), now_);
-    aggregator_.note(usage_report("n1", 1, 0, { { 7, "a", 5 } }), now_);
-    aggregator_.note(usage_report("n1", 2, 0, { { 7, "a", 1 } }), now_);
-    aggregator_.note(usage_report("n2", 1, 0, { { 7, "a", 2 }, { 8, "b", 9 } }), now_);
+    aggregator_.record_usage(usage_report("n1", 1, 0, { { 7, "a", 5 } }), now_);
+    aggregator_.record_usage(usage_report("n1", 1, 0, { { 7, "a", 3 } }), now_);
+    aggregator_.record_usage(usage_report("n1", 1, 0, { { 7, "a", 5 } }), now_);
+    aggregator_.record_usage(usage_report("n1", 2, 0, { { 7, "a", 1 } }), now_);
+    aggregator_.record_usage(usage_report("n2", 1, 0, { { 7, "a", 2 }, { 8, "b", 9 } }), now_);
     EXPECT_EQ(aggregator_.counts(7), (TenantCounts { { "a", 8 } }));
     EXPECT_EQ(aggregator_.counts(8), (TenantCounts { { "b", 9 } }));
 }
 
 TEST_F(UsageAggregatorTest, IsCompleteOnceAllKnownNodesHaveClosedTheWindow)
 {
-    aggregator_.note(usage_report("n1", 1, 7, {}), now_);
-    aggregator_.note(usage_report("n2", 1, 6, {}), now_);
+    aggregator_.record_usage(usage_report("n1", 1, 7, {}), now_);
+    aggregator_.record_usage(usage_report("n2", 1, 6, {}), now_);
     EXPECT_FALSE(aggregator_.is_complete(7, now_));
     EXPECT_TRUE(aggregator_.is_complete(6, now_));
-    aggregator_.note(usage_report("n2", 2, 7, {}), now_); // It was restarted.
+    aggregator_.record_usage(usage_report("n2", 2, 7, {}), now_); // It was restarted.
     EXPECT_TRUE(aggregator_.is_complete(7, now_));
-    aggregator_.note(usage_report("n3", 1, 6, {}), now_);
+    aggregator_.record_usage(usage_report("n3", 1, 6, {}), now_);
     EXPECT_FALSE(aggregator_.is_complete(7, now_ + 5s));
     EXPECT_TRUE(aggregator_.is_complete(7, now_ + 7s)); // It is gone.
     aggregator_.restart_collection(now_ + 7s);
@@ -78,20 +78,20 @@
 
 TEST_F(UsageAggregatorTest, ContributionsAreForwardedCompletely)
 {
-    aggregator_.note(usage_report("n1", 1, 7, { { 7, "a", 5 }, { 7, "b", 6 }, { 8, "a", 1 } }), now_);
-    aggregator_.note(usage_report("me", 1, 7, { { 7, "a", 5 } }), now_);
+    aggregator_.record_usage(usage_report("n1", 1, 7, { { 7, "a", 5 }, { 7, "b", 6 }, { 8, "a", 1 } }), now_);
+    aggregator_.record_usage(usage_report("me", 1, 7, { { 7, "a", 5 } }), now_);
     UsageAggregator other { UsageAggregatorParameters {}, Time { 0s } };
     auto const messages = aggregator_.contributions("me", 2);
     EXPECT_EQ(messages.size(), 2U);
     for (auto const& message : messages)
-        other.note(message, now_);
+        other.record_usage(message, now_);
     EXPECT_EQ(other.counts(7), (TenantCounts { { "a", 5 }, { "b", 6 } }));
     EXPECT_EQ(other.counts(8), (TenantCounts { { "a", 1 } }));
 }
 
 class UsageReporterTest : public ::testing::Test {
 protected:
-    UsageReporterTest() { aggregator_.note(usage_report("n1", 1, 1000, { { 7, "a", 5 } }), Time { 0s }); }
+    UsageReporterTest() { aggregator_.record_usage(usage_report("n1", 1, 1000, { { 7, "a", 5 } }), Time { 0s }); }
     UsageActions step(std::int64_t wall_ms, bool holds_lease = true)
     {
         UsageActions actions;
@@ -125,7 +125,7 @@
     EXPECT_TRUE(all<SendUsageReport>(step(40900)).empty());
     reporter_.on_written(now_, 12);
     EXPECT_EQ(all<SendUsageReport>(step(41000)).size(), 1U);
-    aggregator_.note(usage_report("n1", 1, 1000, { { 7, "a", 6 } }), now_); // Too late: the report is sealed.
+    aggregator_.record_usage(usage_report("n1", 1, 1000, { { 7, "a", 6 } }), now_); // Too late: the report is sealed.
     reporter_.on_sent(now_, 7, DutyOutcome::Unknown);
     auto const again = all<SendUsageReport>(step(41300));
     ASSERT_EQ(again.size(), 1U);
@@ -139,9 +139,9 @@
 {
     step(36000);
     reporter_.on_read(now_, SealedUsage {});
-    aggregator_.note(usage_report("n2", 1, 6, {}), Time { 39s });
+    aggregator_.record_usage(usage_report("n2", 1, 6, {}), Time { 39s });
     EXPECT_TRUE(all<WriteSealedUsage>(step(44000)).empty());
-    aggregator_.note(usage_report("n2", 1, 6, {}), Time { 45s });
+    aggregator_.record_usage(usage_report("n2", 1, 6, {}), Time { 45s });
     EXPECT_EQ(all<WriteSealedUsage>(step(46600)).size(), 1U);
 }
 
@@ -171,7 +171,10 @@
 // All nodes restarted in the middle of window 10, at 52 s.
 class UsageAfterFleetRestartTest : public UsageReporterTest {
 protected:
-    UsageAfterFleetRestartTest() { restarted_aggregator_.note(usage_report("n1", 52000, 1000, {}), Time { 52s }); }
+    UsageAfterFleetRestartTest()
+    {
+        restarted_aggregator_.record_usage(usage_report("n1", 52000, 1000, {}), Time { 52s });
+    }
 
     UsageActions step_at(std::int64_t wall_ms)
     {
@@ -261,8 +264,8 @@
     void receive_usage(UsageAggregator& aggregator) const
     {
         auto const window = now_ms_ / 5000;
-        aggregator.note(usage_report("n" + std::to_string(*rc::gen::inRange(0, 4)), 1, window - *rc::gen::inRange(0, 2),
-                            { { window, "a", *rc::gen::inRange(1, 50) } }),
+        aggregator.record_usage(usage_report("n" + std::to_string(*rc::gen::inRange(0, 4)), 1,
+                                    window - *rc::gen::inRange(0, 2), { { window, "a", *rc::gen::inRange(1, 50) } }),
             now());
     }
     void seal(UsageReporter& reporter, SealedUsage const& object)
--- a/tests/gateway/gateway_components_test.cc
+++ b/tests/gateway/gateway_components_test.cc
@@ -169,7 +169,7 @@
   ASSERT_TRUE(settings.ok()) << settings.status();
   EXPECT_EQ(settings->parameters.crashes.quarantine_threshold, 2);
   EXPECT_EQ(settings->parameters.crashes.quarantine, Duration(900s));
-  EXPECT_EQ(settings->parameters.crashes.memory, Duration(1800s));
+  EXPECT_EQ(settings->parameters.crashes.retention, Duration(1800s));
   EXPECT_EQ(ParseGatewaySettings(base, "f")->parameters.crashes.quarantine, Duration(300s));
   EXPECT_EQ(ParseGatewaySettings(base + "[policy]\nquarantine_s = 0\n", "f")->parameters.crashes.quarantine,
             Duration(0s));
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -112,7 +112,7 @@
     attempt.mode = mode;
     attempt.engine_id = "e";
     attempt.tenant = "t";
-    if (mode == serving::AttemptMode::kContinue) attempt.memory = {"e", "1.1.1.1:1", "handle"};
+    if (mode == serving::AttemptMode::kContinue) attempt.kv_cache_source = {"e", "1.1.1.1:1", "handle"};
     const std::string bytes = http::SerializeRequest(protocol.MakeRequest(client, attempt), "");
     EXPECT_EQ(bytes.find("the-clients-own"), std::string::npos) << bytes;
     EXPECT_NE(bytes.find("X-Tenant: t\r\n"), std::string::npos) << bytes;
--- a/tests/support/serving_fixture.h
+++ b/tests/support/serving_fixture.h
@@ -77,10 +77,10 @@
   FlowId Arrive(const std::string& route, std::optional<PromptMetadata> prompt = std::nullopt) {
     RequestArrived arrived;
     arrived.flow = ++last_flow_;
-    arrived.facts.request_id = "r" + std::to_string(last_flow_);
-    arrived.facts.host = "h.example";
-    arrived.facts.path = "/" + route + "/x";
-    arrived.facts.prompt = std::move(prompt);
+    arrived.metadata.request_id = "r" + std::to_string(last_flow_);
+    arrived.metadata.host = "h.example";
+    arrived.metadata.path = "/" + route + "/x";
+    arrived.metadata.prompt = std::move(prompt);
     Send(arrived);
     return last_flow_;
   }
--- a/tests/support/serving_fleet.cc
+++ b/tests/support/serving_fleet.cc
@@ -58,16 +58,16 @@
   const Duration gap = FromSeconds(1 / per_second);
   int count = 0;
   for (Time at = now_; at < end; at += gap, ++count) {
-    const PromptMetadata facts = prompt(count);
-    At(at, [this, route, facts] {
+    const PromptMetadata metadata = prompt(count);
+    At(at, [this, route, metadata] {
       const int node = static_cast<int>(random_.Below(nodes_.size()));
       RequestArrived arrived;
       arrived.flow = ++last_flow_;
-      arrived.facts.request_id = "r" + std::to_string(last_flow_);
-      arrived.facts.host = "h.example";
-      arrived.facts.path = "/" + route + "/x";
-      arrived.facts.prompt = facts;
-      arrived.facts.fingerprint = kPoisonFingerprint + arrived.flow;
+      arrived.metadata.request_id = "r" + std::to_string(last_flow_);
+      arrived.metadata.host = "h.example";
+      arrived.metadata.path = "/" + route + "/x";
+      arrived.metadata.prompt = metadata;
+      arrived.metadata.fingerprint = kPoisonFingerprint + arrived.flow;
       requests_.push_back(now_);
       arrived_at_[{node, arrived.flow}] = now_;
       Send(node, arrived);
@@ -81,11 +81,11 @@
       const int node = static_cast<int>(random_.Below(nodes_.size()));
       RequestArrived arrived;
       arrived.flow = ++last_flow_;
-      arrived.facts.request_id = "fatal" + std::to_string(last_flow_);
-      arrived.facts.host = "h.example";
-      arrived.facts.path = "/" + route + "/x";
-      arrived.facts.prompt = prompt;
-      arrived.facts.fingerprint = kPoisonFingerprint;
+      arrived.metadata.request_id = "fatal" + std::to_string(last_flow_);
+      arrived.metadata.host = "h.example";
+      arrived.metadata.path = "/" + route + "/x";
+      arrived.metadata.prompt = prompt;
+      arrived.metadata.fingerprint = kPoisonFingerprint;
       poison_.insert({node, arrived.flow});
       Send(node, arrived);
     });
@@ -180,7 +180,7 @@
   ++simulated.running;
   simulated.outstanding[{call.node, call.start.attempt}] = call;
   const bool is_poison = poison_.contains({call.node, call.start.flow}) && call.start.mode != AttemptMode::kPrefill;
-  if (is_poison) return At(now_ + kPoisonRunTime, [this, &simulated] { EndEngine(simulated); });
+  if (is_poison) return At(now_ + kPoisonRunTime, [this, &simulated] { KillEngine(simulated); });
   const int factor = simulated.engine.health == EngineHealth::kSlow ? kSlowFactor : 1;
   At(now_ + simulated.engine.work * factor, [this, &simulated, call] { Finish(simulated, call); });
 }
@@ -225,10 +225,10 @@
   Send(call.node, AttemptCompleted{call.start.flow, call.start.attempt, completes_prefill ? "h" : ""});
 }
 
-void ServingFleet::EndEngine(SimulatedEngine& simulated) {
+void ServingFleet::KillEngine(SimulatedEngine& simulated) {
   if (simulated.crashed) return;
   simulated.crashed = true;
-  engine_ends_.push_back(now_);
+  engine_crash_times_.push_back(now_);
   std::vector<Call> aborted_calls(simulated.waiting.begin(), simulated.waiting.end());
   for (const auto& [key, call] : simulated.outstanding) aborted_calls.push_back(call);
   for (const Call& call : aborted_calls) {
@@ -238,11 +238,11 @@
   At(now_ + kRecordRetention, [this, id = simulated.engine.record.id] { SendAll(EngineRemoved{id}); });
   FleetEngine next = simulated.engine;
   if (same_ids_) {
-    next.record.started_ms = (now_ + EngineRestart()).time_since_epoch().count() / 1000;
+    next.record.started_ms = (now_ + EngineRestartDelay()).time_since_epoch().count() / 1000;
   } else {
     next.record.id += "+";
   }
-  At(now_ + EngineRestart(), [this, next] { Replace(next); });
+  At(now_ + EngineRestartDelay(), [this, next] { Replace(next); });
 }
 
 void ServingFleet::Replace(const FleetEngine& engine) {
@@ -282,12 +282,12 @@
   for (int from = 0; from < static_cast<int>(nodes_.size()); ++from) {
     if (!Hears(node, from)) continue;
     ++changed.nodes;
-    for (const ServiceDemand& reported : nodes_[from]->OwnDemand(now_)) {
+    for (const ServiceDemand& reported : nodes_[from]->LocalDemand(now_)) {
       demand.service = reported.service;
       demand.prefill_engines += reported.prefill_engines;
       demand.reading_depth += reported.reading_depth / static_cast<double>(nodes_.size() - 1);
     }
-    for (const EngineWork& work : nodes_[from]->OwnWork(now_)) {
+    for (const EngineWork& work : nodes_[from]->LocalWork(now_)) {
       changed.work[work.engine].Add(work);
     }
   }
@@ -309,12 +309,12 @@
   };
   double worst = -slack;
   for (const BudgetedArrival& first : counted_) {
-    const auto extras = std::count_if(counted_.begin(), counted_.end(), [&](const BudgetedArrival& other) {
+    const auto extra_arrivals = std::count_if(counted_.begin(), counted_.end(), [&](const BudgetedArrival& other) {
       return other.at >= first.at && other.at < first.at + window;
     });
     const auto requests = std::max({requests_in_window(first.at), requests_in_window(first.at - window),
                                     requests_in_window(first.at - window / 2)});
-    worst = std::max(worst, static_cast<double>(extras) - ratio * static_cast<double>(requests) - slack);
+    worst = std::max(worst, static_cast<double>(extra_arrivals) - ratio * static_cast<double>(requests) - slack);
   }
   return worst;
 }
--- a/tests/support/serving_fleet.h
+++ b/tests/support/serving_fleet.h
@@ -45,19 +45,19 @@
 
   void AddEngine(const FleetEngine& engine) { engines_[engine.record.id].engine = engine; }
   void SetHealth(const std::string& id, EngineHealth health) { engines_.at(id).engine.health = health; }
-  void EndEngine(const std::string& id) { EndEngine(engines_.at(id)); }
+  void KillEngine(const std::string& id) { KillEngine(engines_.at(id)); }
   // Reports all engines to the nodes and the nodes to each other.
   void Begin();
   // Sends `per_second` requests of the route to random nodes until `end`.
   void Offer(const std::string& route, double per_second, Time end, const std::function<PromptMetadata(int)>& prompt);
   // Sends a request that crashes each engine that starts to run it to a random node, once every `gap`. A crashed engine
-  // is replaced by a new one at its address after `EngineRestart()`.
+  // is replaced by a new one at its address after `EngineRestartDelay()`.
   void SendPoisonRequests(const std::string& route, const PromptMetadata& prompt, Duration gap, Time end);
-  static Duration EngineRestart() { return 4s; }
+  static Duration EngineRestartDelay() { return 4s; }
   // Partitions the nodes: each receives reports only from its own side. Empty: no partition.
   void set_sides(std::vector<int> sides) { sides_ = std::move(sides); }
   // Crashed engines restart under the same id, as a new incarnation.
-  void set_same_ids() { same_ids_ = true; }
+  void set_restart_with_same_ids() { same_ids_ = true; }
   // Share of messages between nodes that are lost.
   void set_loss(double share) { loss_ = share; }
   // Restarts the node: its state and its requests in flight are lost.
@@ -73,7 +73,7 @@
   const std::vector<BudgetedArrival>& counted() const { return counted_; }
   const std::multiset<std::string>& ejected() const { return ejected_; }
   // Times of engine crashes, and executions of the poison request.
-  const std::vector<Time>& engine_ends() const { return engine_ends_; }
+  const std::vector<Time>& engine_crash_times() const { return engine_crash_times_; }
   const std::vector<PoisonRun>& poison_runs() const { return poison_runs_; }
   // Requests in quarantine on any node, by fingerprint; each ordinary request has a unique one.
   const std::set<std::string>& quarantined() const { return quarantined_; }
@@ -111,7 +111,7 @@
   void Refuse(SimulatedEngine& simulated, const Call& call);
   void Reset(const Call& call);
   // The engine's process crashes; later another takes its address.
-  void EndEngine(SimulatedEngine& simulated);
+  void KillEngine(SimulatedEngine& simulated);
   void Replace(const FleetEngine& engine);
   void SendAll(const Event& event);
   // Sends the peers the node's crash marks.
@@ -132,7 +132,7 @@
   std::set<std::pair<int, AttemptId>> cancelled_;
   std::set<std::pair<int, FlowId>> poison_;
   std::vector<PoisonRun> poison_runs_;
-  std::vector<Time> engine_ends_;
+  std::vector<Time> engine_crash_times_;
   std::set<std::string> quarantined_;
   std::vector<Time> requests_;
   std::vector<BudgetedArrival> counted_;
