--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -28,24 +28,20 @@
       counter("saltquay_extra_arrivals_total", "Calls to engines that count against the retry budget, and why");
   store_calls_ = counter("saltquay_store_calls_total", "Calls to the store by kind of object, call and cause");
   traffic_ = counter("saltquay_traffic_bytes_total",
-                     "Payload bytes to and from engines and other nodes, by kind and locality");
-  limit_units_ =
-      &prometheus::BuildGauge()
-           .Name("saltquay_limit_units")
-           .Help("Tenant limits: units admitted and refused through this node, and levels of the buckets it owns")
-           .Labels(labels)
-           .Register(*registry_);
-  aborted_streams_ =
-      &counter("saltquay_streams_broken_off_total", "Client streams aborted before their last event")->Add({});
+                     "Contents of messages to and from engines and other nodes, by kind and how far they went");
+  limit_units_ = &prometheus::BuildGauge()
+                      .Name("saltquay_limit_units")
+                      .Help("Of tenants' limits: units admitted and refused through this node, and the levels it keeps")
+                      .Labels(labels)
+                      .Register(*registry_);
+  aborted_streams_ = &counter("saltquay_streams_broken_off_total", "Streams ended before their last event")->Add({});
   engine_crash_times_ =
-      &counter("saltquay_engine_ends_total", "Engines that crashed while running requests of this node")->Add({});
-  response_seconds_ =
-      histogram("saltquay_answer_seconds", "Time from the arrival of a request to its complete response");
-  first_event_seconds_ =
-      histogram("saltquay_first_event_seconds", "Time from the arrival of a request to its first event");
-  store_seconds_ = histogram("saltquay_store_call_seconds", "Duration of calls to the store, except watches");
+      &counter("saltquay_engine_ends_total", "Engines whose process ended with requests of this node")->Add({});
+  response_seconds_ = histogram("saltquay_answer_seconds", "From a request's arrival to its whole answer");
+  first_event_seconds_ = histogram("saltquay_first_event_seconds", "From a request's arrival to its first event");
+  store_seconds_ = histogram("saltquay_store_call_seconds", "Calls to the store, watches aside");
   digest_age_seconds_ =
-      histogram("saltquay_knowledge_age_seconds", "Mean age of the parts of the fleet digest when it was applied");
+      histogram("saltquay_knowledge_age_seconds", "Mean age of the parts of the fleet's digest when it was taken over");
   RegisterGauges(labels);
 }
 
@@ -54,20 +50,15 @@
     return &prometheus::BuildGauge().Name(name).Help(help).Labels(labels).Register(*registry_).Add({});
   };
   config_version_ = gauge("saltquay_config_version", "Version of the configuration in force");
-  engines_ = gauge("saltquay_engines", "Known engines");
-  open_requests_ = gauge("saltquay_open_requests", "Requests in progress");
+  engines_ = gauge("saltquay_engines", "Engines known");
+  open_requests_ = gauge("saltquay_open_requests", "Requests under way");
   log_dropped_ = gauge("saltquay_log_lines_dropped", "Log lines dropped so far");
-  leader_ = gauge("saltquay_role_leader", "1 while this node holds the duty lease");
-  quarantined_ =
-      gauge("saltquay_requests_quarantined", "Requests quarantined because engines crashed while running them");
-  crash_entries_ =
-      gauge("saltquay_crash_ledger_requests", "Requests in the crash ledger: engines crashed while running them");
-  sealed_window_ =
-      gauge("saltquay_usage_sealed_window", "Last window whose usage report is sealed; 0 if unknown to this node");
-  unsent_reports_ =
-      gauge("saltquay_usage_unsent_reports", "Sealed usage reports that the platform has not accepted yet");
-  clock_error_seconds_ =
-      gauge("saltquay_clock_error_seconds", "Offset of this machine's clock from the fleet's; positive if it is ahead");
+  leader_ = gauge("saltquay_role_leader", "1 while this node holds the duties' lease");
+  quarantined_ = gauge("saltquay_requests_quarantined", "Requests kept from engines, since engines ended under them");
+  crash_entries_ = gauge("saltquay_crash_ledger_requests", "Requests remembered because engines ended under them");
+  sealed_window_ = gauge("saltquay_usage_sealed_window", "Last window whose usage report is fixed; 0: not known here");
+  unsent_reports_ = gauge("saltquay_usage_unsent_reports", "Usage reports that are fixed and not taken yet");
+  clock_error_seconds_ = gauge("saltquay_clock_error_seconds", "How far this machine's clock is ahead of the fleet's");
 }
 
 void GatewayMetrics::CountRequest(int status) { requests_->Add({{"status", std::to_string(status)}}).Increment(); }
--- a/src/replica/relay_server.cc
+++ b/src/replica/relay_server.cc
@@ -76,7 +76,7 @@
     std::string_view const target = exchange->head.target;
     auto const path = http::PathOf(target);
     if (!path.starts_with(prefix))
-        return respond(*exchange, not_found, "not found; use /records/KIND\n");
+        return respond(*exchange, not_found, "see /records/KIND\n");
     std::string const kind(path.substr(prefix.size()));
     auto const since = query_number(target, "since");
     if (!since) {
