--- a/src/core/serving/limit_steps.cc
+++ b/src/core/serving/limit_steps.cc
@@ -15,13 +15,13 @@
     case Kind::TookOver:
       return "took over";
     case Kind::HandedOff:
-      return "handed over";
+      return "handed off";
     case Kind::Received:
       return "received";
     case Kind::Unresponsive:
       return "silent";
     case Kind::Responsive:
-      return "heard again";
+      return "responsive again";
   }
   return "";
 }
