--- a/src/core/serving/serving_config.h
+++ b/src/core/serving/serving_config.h
@@ -55,11 +55,11 @@
 
 // How many engines of a service may be provisioned, and at what price.
 struct ScalingTraits {
-  int min = 0;  // Per zone, ordinary and spot engines together.
+  int min = 0;  // Per zone, on-demand and spot engines together.
   int max = 0;
   Duration boot = 0s;                // From the provisioning order until the engine serves.
-  std::optional<double> spot_price;  // As a share of an ordinary engine's price; unset if there are no spot engines.
-  std::map<std::string, double> zone_prices;  // Price of an ordinary engine per second, by zone.
+  std::optional<double> spot_price;  // As a share of an on-demand engine's price; unset if there are no spot engines.
+  std::map<std::string, double> zone_prices;  // Price of an on-demand engine per second, by zone.
 };
 
 struct Service {
