--- a/src/gateway/limit_codec.cc
+++ b/src/gateway/limit_codec.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Message kinds on the wire: the values must not change.
-enum class Kind : std::uint8_t { kRequest = 1, kResponse = 2, kRefund = 3, kProbe = 4, kHandOver = 5 };
+enum class Kind : std::uint8_t { kRequest = 1, kResponse = 2, kRefund = 3, kProbe = 4, kHandoff = 5 };
 
 // The fields of a message as laid out in the FlatBuffers table.
 struct Fields {
@@ -48,7 +48,7 @@
           probe.fleet};
 }
 Fields ToFields(const limits::BucketHandoff& message) {
-  return {Kind::kHandOver,
+  return {Kind::kHandoff,
           message.key,
           message.tenant,
           message.from,
@@ -100,7 +100,7 @@
       return limits::ChargeRefund{key, message.tenant()};
     case Kind::kProbe:
       return ProbeFromWire(message, text);
-    case Kind::kHandOver:
+    case Kind::kHandoff:
       return limits::BucketHandoff{message.tenant(), message.peer(),     key, message.amount(), message.flag(),
                                    message.fleet(),  message.step() != 0};
   }
