--- a/src/gateway/engine_protocol.cc
+++ b/src/gateway/engine_protocol.cc
@@ -49,25 +49,25 @@
 }  // namespace
 
 serving::RequestMetadata EngineProtocol::DecodeRequest(const http::RequestHead& head) const {
-  serving::RequestMetadata facts;
-  facts.request_id = std::string(head.fields.Find(names_.request_id).value_or(""));
-  facts.host = HostWithoutPort(head.fields.Find("Host").value_or(""));
-  facts.path = std::string(http::PathOf(head.target));
+  serving::RequestMetadata metadata;
+  metadata.request_id = std::string(head.fields.Find(names_.request_id).value_or(""));
+  metadata.host = HostWithoutPort(head.fields.Find("Host").value_or(""));
+  metadata.path = std::string(http::PathOf(head.target));
   if (const auto text = head.fields.Find(names_.deadline_ms)) {
-    if (const auto value = ParseInt(*text)) facts.deadline = std::chrono::milliseconds(std::max(0, *value));
+    if (const auto value = ParseInt(*text)) metadata.deadline = std::chrono::milliseconds(std::max(0, *value));
   }
-  facts.last_event_id = std::string(head.fields.Find(names_.last_event_id).value_or(""));
-  facts.api_key = std::string(head.fields.Find(names_.api_key).value_or(""));
+  metadata.last_event_id = std::string(head.fields.Find(names_.last_event_id).value_or(""));
+  metadata.api_key = std::string(head.fields.Find(names_.api_key).value_or(""));
   const auto counts = head.fields.Find(names_.token_counts);
-  if (!counts) return facts;
+  if (!counts) return metadata;
   serving::PromptMetadata prompt;
   const std::vector<std::string_view> numbers = SplitCommas(*counts);
   prompt.tokens = ParseInt(numbers[0]).value_or(0);
   if (numbers.size() > 1) prompt.output_tokens = ParseInt(numbers[1]).value_or(0);
   prompt.model = std::string(head.fields.Find(names_.model).value_or(""));
   prompt.parts = ParseParts(head.fields.Find(names_.prompt_parts).value_or(""));
-  facts.prompt = std::move(prompt);
-  return facts;
+  metadata.prompt = std::move(prompt);
+  return metadata;
 }
 
 http::RequestHead EngineProtocol::MakeRequest(const http::RequestHead& client,
@@ -94,17 +94,17 @@
 }
 
 serving::EngineResponseHead EngineProtocol::DecodeResponse(const http::ResponseHead& head) const {
-  serving::EngineResponseHead facts;
-  facts.status = head.status;
-  facts.not_executed = head.fields.Has(names_.not_executed) || head.status == kMisdirected;
-  facts.signed_by_engine = head.fields.Has(names_.signature);
+  serving::EngineResponseHead response_head;
+  response_head.status = head.status;
+  response_head.not_executed = head.fields.Has(names_.not_executed) || head.status == kMisdirected;
+  response_head.signed_by_engine = head.fields.Has(names_.signature);
   const auto load = head.fields.Find(names_.load);
-  if (!load) return facts;
+  if (!load) return response_head;
   const std::vector<std::string_view> numbers = SplitCommas(*load);
-  if (numbers.size() < 3) return facts;
-  facts.load = serving::EngineLoad{ParseInt(numbers[0]).value_or(0), ParseInt(numbers[1]).value_or(0),
-                                   ParseInt(numbers[2]).value_or(0)};
-  return facts;
+  if (numbers.size() < 3) return response_head;
+  response_head.load = serving::EngineLoad{ParseInt(numbers[0]).value_or(0), ParseInt(numbers[1]).value_or(0),
+                                           ParseInt(numbers[2]).value_or(0)};
+  return response_head;
 }
 
 bool EngineProtocol::IsResponseTo(const http::ResponseHead& head, std::string_view request_id) const {
--- a/tests/gateway/gateway_components_test.cc
+++ b/tests/gateway/gateway_components_test.cc
@@ -58,16 +58,16 @@
 }
 
 TEST(EngineProtocolTest, DecodesRequestHeaders) {
-  const serving::RequestMetadata facts = EngineProtocol(EngineProtocolFields{}).DecodeRequest(ClientHead());
-  EXPECT_EQ(facts.request_id, "r1");
-  EXPECT_EQ(facts.host, "h.example");
-  EXPECT_EQ(facts.path, "/a/b");
-  EXPECT_EQ(facts.deadline, Duration(5s));
-  ASSERT_TRUE(facts.prompt);
-  EXPECT_EQ(facts.prompt->tokens, 1460);
-  EXPECT_EQ(facts.prompt->output_tokens, 80);
-  ASSERT_EQ(facts.prompt->parts.size(), 3U);
-  EXPECT_EQ(facts.prompt->parts[1].id, "91bd");
+  const serving::RequestMetadata metadata = EngineProtocol(EngineProtocolFields{}).DecodeRequest(ClientHead());
+  EXPECT_EQ(metadata.request_id, "r1");
+  EXPECT_EQ(metadata.host, "h.example");
+  EXPECT_EQ(metadata.path, "/a/b");
+  EXPECT_EQ(metadata.deadline, Duration(5s));
+  ASSERT_TRUE(metadata.prompt);
+  EXPECT_EQ(metadata.prompt->tokens, 1460);
+  EXPECT_EQ(metadata.prompt->output_tokens, 80);
+  ASSERT_EQ(metadata.prompt->parts.size(), 3U);
+  EXPECT_EQ(metadata.prompt->parts[1].id, "91bd");
 }
 
 TEST(EngineProtocolTest, DropsSystemFieldsFromClients) {
@@ -95,10 +95,10 @@
   head.fields.Add("Saltquay-Tokens", "99999999999999999999,x");
   head.fields.Add("Saltquay-Deadline-Ms", "-5");
   head.fields.Add("Saltquay-Prompt-Parts", ",,:,a:,b:-1");
-  const serving::RequestMetadata facts = EngineProtocol(EngineProtocolFields{}).DecodeRequest(head);
-  EXPECT_EQ(facts.deadline, Duration(0));
-  ASSERT_TRUE(facts.prompt);
-  EXPECT_EQ(facts.prompt->tokens, 0);
+  const serving::RequestMetadata metadata = EngineProtocol(EngineProtocolFields{}).DecodeRequest(head);
+  EXPECT_EQ(metadata.deadline, Duration(0));
+  ASSERT_TRUE(metadata.prompt);
+  EXPECT_EQ(metadata.prompt->tokens, 0);
 }
 
 TEST(EngineProtocolTest, DecodesResponseHeaders) {
