--- a/src/core/serving/engine_index.cc
+++ b/src/core/serving/engine_index.cc
@@ -22,7 +22,7 @@
   for (int i = 0; i < count; ++i) sampled.push_back(engines[random.Below(engines.size())]);
 }
 
-// A home engine that is merely at capacity stays the home, because the parts are cached there.
+// A home engine that is merely at capacity stays a home engine, because the parts are cached there.
 bool IsEjectedOrChanging(const EngineState& engine, Time now) {
   return now < std::max({engine.ejected_until, engine.held_until, engine.changing_until});
 }
@@ -52,7 +52,7 @@
 
 namespace {
 
-// Keeps the two engines with the smallest distance. `excluded`: an engine that is a home already and is skipped.
+// Keeps the two engines with the smallest distance. `excluded`: an engine that is a home engine already and is skipped.
 class BestTwo {
  public:
   explicit BestTwo(const EngineState* excluded) : excluded_(excluded) {}
--- a/src/core/serving/events.h
+++ b/src/core/serving/events.h
@@ -202,7 +202,7 @@
   int status = 0;
   std::optional<Duration> retry_after;
 };
-// Terminate the response such that the client can tell that it is incomplete.
+// Terminate the response such that the client can detect that it is incomplete.
 struct AbortResponse {
   FlowId flow = 0;
 };
--- a/src/core/serving/fleet_exchange.h
+++ b/src/core/serving/fleet_exchange.h
@@ -46,8 +46,8 @@
   Duration cache_update_forward_time = 300ms;
   Duration cache_update_suppress_time = 8s;  // Well below ServingParameters::cached_part_lifetime.
   std::size_t mentioned_nodes = 24;
-  // Interval of region digests from each representative of a region. With two representatives, a region hears from
-  // another every fifth of a second, and all information reaches every node within a second.
+  // Interval of region digests from each representative of a region. With two representatives, a region receives
+  // another one's digest every fifth of a second, and all information reaches every node within a second.
   Duration region_interval = 400ms;
   std::size_t region_representatives = 2;  // One may fail without a gap.
   Duration region_report_expiry = 2s;      // Expiry of region digests: five digests of one representative.
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -131,9 +131,9 @@
   std::vector<PeerNode> Heard() const;
   // Nodes that reports are received from, and nodes recently mentioned by others.
   std::vector<PeerNode> Nodes() const;
-  // Nodes heard from or mentioned within the last `age` that are not stopping.
+  // Nodes that sent a report or were mentioned in one within the last `age`, and are not stopping.
   std::vector<PeerNode> RecentNodes(Time now, Duration age) const;
-  // Number of nodes heard from within the last `age`, including this one.
+  // Number of nodes that sent a report within the last `age`, including this one.
   int CountHeard(Time now, Duration age) const;
   // The next `max_count` nodes or fewer, round-robin, to mention in a report.
   std::vector<PeerNode> NextPeersToMention(std::size_t max_count);
--- a/src/core/serving/retry_budget_share.h
+++ b/src/core/serving/retry_budget_share.h
@@ -3,8 +3,8 @@
 // The budget: within every window, arrivals at a service's engines beyond the first of each request ("extra arrivals")
 // stay below ratio x requests + slack, summed over all nodes. Each node spends the ratio of its own requests and an
 // equal share of the slack. A process gets no slack in its first window, since its predecessor may have spent it. The
-// slack is divided among all nodes known over a long time: a node that is no longer heard from may be partitioned and
-// still spend its share.
+// slack is divided among all nodes known over a long time: a node whose reports no longer arrive may be partitioned
+// and still spend its share.
 #pragma once
 
 #include <algorithm>
@@ -45,7 +45,7 @@
   explicit RetryBudgetShare(const RetryBudgetBounds& bounds)
       : bounds_(bounds), counts_(bounds.node_count_windows * bounds.window) {}
 
-  // Call if this may not be the node's first process: what the earlier one spent in this window is not known.
+  // Call if this may not be the node's first process: the spending of the earlier one in this window is not known.
   void BeginAfterRestart(Time now) { slack_available_from_ = now + bounds_.window; }
 
   // `nodes`: how many nodes share the slack now. The maximum over the remembered windows is used.
@@ -93,14 +93,14 @@
   double Remaining(const std::string& service, Time now) {
     const Usage& usage = PrunedUsage(service, now);
     const double earned = bounds_.ratio * static_cast<double>(usage.requests.size());
-    const double slack = now < slack_available_from_ ? 0 : bounds_.slack / (nodes_ + kUnseenNodes);
+    const double slack = now < slack_available_from_ ? 0 : bounds_.slack / (nodes_ + kUnknownNodes);
     const double allowed = bounds_.safety * (earned + slack);
     return allowed - static_cast<double>(usage.extra_arrivals.size());
   }
 
  private:
   // Allows for nodes that have joined but are not known yet.
-  static constexpr int kUnseenNodes = 1;
+  static constexpr int kUnknownNodes = 1;
 
   struct Usage {
     std::deque<Time> requests;
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -180,7 +180,7 @@
   if (!ready()) return Refuse(flow, "no configuration received yet");
   const Route* route = config_->FindRoute(event.metadata.host, event.metadata.path);
   if (route == nullptr) {
-    // Only a node that is connected to the store can tell that a route does not exist.
+    // Only a node that is connected to the store can determine that a route does not exist.
     return store_connected_ ? Fail(flow, kNotFound, "no route")
                             : Refuse(flow, "no matching route, store not connected");
   }
@@ -265,7 +265,7 @@
   crash_detector_.RecordActivity(attempt.engine_id, attempt.sent_at, now_);
   if (event.response_head.load) engines_.RecordLoad(attempt.engine_id, *event.response_head.load, now_);
   if (!event.response_head.not_executed) {
-    // An engine that gives up at the request's deadline was slow; that is no failure.
+    // An engine that times out at the request's deadline was slow; that is no failure.
     const bool time_ran_out = event.response_head.status == kGatewayTimeout && now_ + kEndTolerance >= flow->expires_at;
     const bool failed = event.response_head.status >= kFirstError && !time_ran_out;
     LogEngineHealth(engines_.RecordResponse(attempt.engine_id, failed, now_));
--- a/tests/core/serving/engine_selection_test.cc
+++ b/tests/core/serving/engine_selection_test.cc
@@ -67,10 +67,10 @@
   EXPECT_TRUE(ejected);
 }
 
-std::map<EngineKey, EngineWork> OutcomesOf(const std::string& engine, int answers, int failures) {
+std::map<EngineKey, EngineWork> OutcomesOf(const std::string& engine, int responses, int failures) {
   EngineWork work;
   work.engine = engine;
-  work.answers = answers;
+  work.answers = responses;
   work.failures = failures;
   return {{work.engine, work}};
 }
@@ -230,7 +230,7 @@
 }
 
 TEST_F(SelectorTest, PartsAreCopiedFromTheEngineThatCachesMostOrElseTheHome) {
-  // Found on fcl-norte-grown: engines other than the homes recomputed 13,300 shared tokens.
+  // Found on fcl-norte-grown: non-home engines recomputed 13,300 shared tokens.
   for (int i = 0; i < 3; ++i) engines_.Update(Record("p" + std::to_string(i), EngineStage::kPrefill));
   EngineState* home = selector_.ChoosePrefillEngine(engines_, "s", EngineStage::kPrefill, Prompt("x"), {}, Time{1s});
   EXPECT_EQ(selector_.FindCopySource(engines_, *home, Prompt("x"), Time{1s}), nullptr);
@@ -281,7 +281,7 @@
 
 // One hundred nodes with the same information choose before they receive each other's reports.
 std::map<std::string, int> ChooseConcurrently(
-    const UnreportedWork& unseen, const std::function<EngineState*(EngineSelector&, EngineDirectory&)>& choose) {
+    const UnreportedWork& unreported, const std::function<EngineState*(EngineSelector&, EngineDirectory&)>& choose) {
   std::map<std::string, int> chosen;
   for (std::uint64_t node = 0; node < 100; ++node) {
     EngineDirectory engines{EjectionPolicy{}};
@@ -294,7 +294,7 @@
     }
     EngineSelector selector(ServingParameters{}, "a", node);
     selector.set_has_peer_reports(true);
-    selector.set_unreported_work(unseen);
+    selector.set_unreported_work(unreported);
     ++chosen[choose(selector, engines)->record.id];
   }
   return chosen;
@@ -343,7 +343,7 @@
   EXPECT_EQ(peers.NextPeersToMention(200).size(), 100U);
 }
 
-TEST(PeerTableTest, NewerReportsReplaceOlderOnesAndSilentNodesExpire) {
+TEST(PeerTableTest, NewerReportsReplaceOlderOnesAndUnresponsiveNodesExpire) {
   PeerTable peers("me");
   PeerReport report;
   report.node = "other";
--- a/tests/core/serving/flow_test.cc
+++ b/tests/core/serving/flow_test.cc
@@ -35,10 +35,10 @@
   RequestArrived arrived;
   arrived.flow = 1;
   fresh.OnEvent(now_, arrived, actions);
-  const auto* answer = std::get_if<SendLocalReply>(&actions.back());
-  ASSERT_NE(answer, nullptr);
-  EXPECT_EQ(answer->status, 503);
-  EXPECT_TRUE(answer->retry_after.has_value());
+  const auto* reply = std::get_if<SendLocalReply>(&actions.back());
+  ASSERT_NE(reply, nullptr);
+  EXPECT_EQ(reply->status, 503);
+  EXPECT_TRUE(reply->retry_after.has_value());
 }
 
 TEST_F(FlowTest, OlderConfigurationIsIgnored) {
@@ -94,7 +94,7 @@
   EXPECT_EQ(One<SendLocalReply>().status, 502);
 }
 
-TEST_F(FlowTest, DeadlineIsAnsweredAtOnceWithGatewayTimeout) {
+TEST_F(FlowTest, ExpiredDeadlineGetsGatewayTimeoutAtOnce) {
   Arrive("once");
   Pass(3900ms);
   EXPECT_TRUE(All<SendLocalReply>().empty());
@@ -315,9 +315,9 @@
     }
     final_responses +=
         static_cast<int>(All<RelayResponse>().size() + All<EndRelay>().size() + All<AbortResponse>().size());
-    for (const SendLocalReply& answer : All<SendLocalReply>()) {
+    for (const SendLocalReply& reply : All<SendLocalReply>()) {
       ++final_responses;
-      const bool promises_not_executed = answer.status == 503 || answer.status == 429;
+      const bool promises_not_executed = reply.status == 503 || reply.status == 429;
       if (promises_not_executed && allowed == 1) RC_ASSERT(possible_executions.empty());
     }
   };
--- a/tests/core/serving/overload_test.cc
+++ b/tests/core/serving/overload_test.cc
@@ -56,11 +56,11 @@
 TEST_F(FullWindowTest, ExcessPromptIsRefusedWithRetryAfterWithinAQuarterOfItsObjective) {
   ASSERT_TRUE(window_full_);
   Pass(100ms);  // A quarter of 400 ms.
-  const auto answer = One<SendLocalReply>();
-  EXPECT_EQ(answer.status, 503);
-  ASSERT_TRUE(answer.retry_after.has_value());
-  EXPECT_GT(*answer.retry_after, 0s);
-  EXPECT_LT(*answer.retry_after, 4s / 3);  // Clients follow a Retry-After of up to a third of their deadline.
+  const auto reply = One<SendLocalReply>();
+  EXPECT_EQ(reply.status, 503);
+  ASSERT_TRUE(reply.retry_after.has_value());
+  EXPECT_GT(*reply.retry_after, 0s);
+  EXPECT_LT(*reply.retry_after, 4s / 3);  // Clients follow a Retry-After of up to a third of their deadline.
 }
 
 TEST_F(FullWindowTest, ShorterObjectiveIsDecidedBeforeALongerOneThatArrivedFirst) {
--- a/tests/core/serving/retry_budget_test.cc
+++ b/tests/core/serving/retry_budget_test.cc
@@ -54,7 +54,7 @@
   }
 }
 
-// Guards against: a restarted node does not know what it spent before and spends its share of the slack again.
+// Guards against: a restarted node does not know its earlier spending and spends its share of the slack again.
 TEST_F(RetryBudgetTest, HoldsWhileNodesRestartRepeatedly) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ServingFleet fleet(kNodes, MakeConfig(), Parameters(), seed);
--- a/tests/core/serving/tenancy_test.cc
+++ b/tests/core/serving/tenancy_test.cc
@@ -107,9 +107,9 @@
 TEST_F(TenancyTest, UnknownKeyIsUnavailableWhileNotConnectedToTheStore) {
   Send(StoreConnectivityChanged{false});
   ArriveWithKey("safe", "new-key");
-  const auto answer = One<SendLocalReply>();
-  EXPECT_EQ(answer.status, kUnavailable);
-  EXPECT_TRUE(answer.retry_after);
+  const auto reply = One<SendLocalReply>();
+  EXPECT_EQ(reply.status, kUnavailable);
+  EXPECT_TRUE(reply.retry_after);
   ArriveWithKey("safe", "");
   EXPECT_EQ(One<SendLocalReply>().status, kUnauthorized);
   ArriveWithKey("safe", "key-a");
@@ -140,8 +140,8 @@
 // A plain engine starts executing on receipt, a language engine with its first token.
 TEST_F(TenancyTest, UsageCountsEachExecutedRequestOnce) {
   ArriveWithKey("once", "key-a");
-  const auto answered = One<StartAttempt>();
-  Answer(answered, 200);
+  const auto start = One<StartAttempt>();
+  Answer(start, 200);
   EXPECT_EQ(One<ExecutionStarted>().tenant, "t1");
   ArriveWithKey("once", "key-c");
   Answer(One<StartAttempt>(), 503, true);
--- a/tests/core/serving/tenant_limit_test.cc
+++ b/tests/core/serving/tenant_limit_test.cc
@@ -70,7 +70,7 @@
 
   static limits::Decision Pending() { return {limits::Verdict::Pending, 0s, false, {}}; }
   static limits::Decision OverLimit(Duration retry_after) {
-    return {limits::Verdict::Refused, retry_after, true, "home"};
+    return {limits::Verdict::Refused, retry_after, true, "owner"};
   }
 
   ScriptedLimiter* limiter_ = nullptr;
