--- a/include/saltquay/limits/limit_messages.h
+++ b/include/saltquay/limits/limit_messages.h
@@ -22,15 +22,15 @@
     auto operator<=>(ChargeId const&) const = default;
 };
 
-// Asks the owner to admit a request and charge its cost. Resent unchanged until it is answered.
+// Asks the owner to admit a request and charge its cost. Resent unchanged until a response arrives.
 struct ChargeRequest {
     ChargeId charge;
     std::uint64_t tenant = 0;             // Hash of the tenant's name.
     std::int64_t cost = 0;                // Units.
     std::string reply_to;                 // Address of the requesting node.
     std::uint8_t forwards = 0;            // How many nodes have forwarded it.
-    std::uint64_t unresponsive_owner = 0; // Hash of the name of an owner that did not answer the requester, or of the
-                                          // node that declined ownership; 0: none.
+    std::uint64_t unresponsive_owner = 0; // Hash of the name of an owner that did not respond to the requester, or of
+                                          // the node that declined ownership; 0: none.
     bool declined = false; // Forwarded by a node that declines ownership because it is starting, stopping or has
                            // stepped down.
 };
@@ -49,10 +49,10 @@
     std::uint64_t tenant = 0;
 };
 
-// Checks whether a node is alive; answered immediately.
+// Checks whether a node is alive; the response is immediate.
 //
-// A node that may have to take over from an unresponsive owner surveys other nodes. Each of them answers immediately,
-// which tells the sender how much of the fleet it can reach, and relays the probe to the owner, which may be
+// A node that may have to take over from an unresponsive owner surveys other nodes. Each of them responds immediately,
+// which shows the sender how much of the fleet it can reach, and relays the probe to the owner, which may be
 // unreachable only from the sender.
 struct OwnerProbe {
     enum class Kind : std::uint8_t { Probe, Reply, Survey, SurveyReply, Relay, RelayReply };
--- a/src/limits/distributed_limiter.h
+++ b/src/limits/distributed_limiter.h
@@ -58,7 +58,7 @@
         std::uint64_t request = 0;
         ChargeRequest sent;
         std::uint64_t target = 0; // Hash of the node that the request was sent to.
-        int attempts = 0;         // Unanswered requests to that node.
+        int attempts = 0;         // Requests to that node without a response.
         Time resend_at {};
         Time expires_at {};
     };
@@ -103,8 +103,8 @@
     // Sends the request to its next target, or waits if this node itself is the next candidate and may have to take
     // over. Returns false if no owner can be reached.
     bool send_to_next_target(Time, PendingRequest&);
-    // This node is next in the ranking after an owner that does not answer it. Sends the request through a relay, since
-    // other nodes may still reach that owner.
+    // This node is next in the ranking after an owner that does not respond to it. Sends the request through a relay,
+    // since other nodes may still reach that owner.
     void send_via_relay(Time, PendingRequest const&);
     void resend_requests(Time);
     void mark_responsive(Time, std::uint64_t node);
--- a/src/limits/distributed_limiter_messages.cc
+++ b/src/limits/distributed_limiter_messages.cc
@@ -114,7 +114,7 @@
         send(node->node.address, make_probe(now, OwnerProbe::Kind::Survey, owner.hash));
 }
 
-// A node that has just started does not answer: it owns no tenants until it knows the fleet.
+// A node that has just started does not respond: it owns no tenants until it knows the fleet.
 void DistributedLimiter::on(Time now, OwnerProbe const& probe)
 {
     using Kind = OwnerProbe::Kind;
@@ -147,7 +147,7 @@
     }
 }
 
-// Another node keeps considering this one failed although it answers: its messages do not arrive there, and another
+// Another node keeps considering this one failed although it responds: its messages do not arrive there, and another
 // node has taken over.
 void DistributedLimiter::on_reported_unresponsive(Time now)
 {
--- a/src/limits/limiter_parameters.h
+++ b/src/limits/limiter_parameters.h
@@ -6,21 +6,21 @@
 namespace saltquay::limits {
 
 struct LimiterParameters {
-    // An unanswered charge request is resent after this time: several round trips between zones.
+    // A charge request without a response is resent after this time: several round trips between zones.
     Duration request_resend_interval = 30ms;
-    // An owner that leaves this many requests in a row unanswered is suspected and skipped.
+    // An owner that does not respond to this many requests in a row is suspected and skipped.
     int max_unanswered_requests = 2;
     // If this many owner candidates in a row are skipped, the node treats no owner as reachable.
     int max_owner_candidates = 4;
     // The longest time that a request waits for a response; leaves half of a short latency objective.
     Duration max_wait = 250ms;
-    // Interval of probes to a suspected node until it answers or leaves the fleet.
+    // Interval of probes to a suspected node until it responds or leaves the fleet.
     Duration probe_interval = 30ms;
     Duration failed_probe_interval = 300ms; // Of probes and surveys after the suspect was declared failed.
-    // Another node takes over from an owner that answered no probe for this long. Longer than the 100 ms pause of a
+    // Another node takes over from an owner that responded to no probe for this long. Longer than the 100 ms pause of a
     // machine that has used up its CPU quota, and long enough for several probes to be dropped.
     Duration failover_timeout = 130ms;
-    // A suspect that answered is not suspected again for this long, even if other nodes report it as unresponsive:
+    // A suspect that responded is not suspected again for this long, even if other nodes report it as unresponsive:
     // otherwise a node that relays to it would survey the fleet for each charge request.
     Duration suspicion_cooldown = 100ms;
     // The number of nodes surveyed about an unresponsive owner, and the interval of surveys: enough nodes to
@@ -30,8 +30,8 @@
     // A gap of this length between calls means that the process was paused and may have been replaced as owner: a
     // running node calls the limiter more often.
     Duration pause_threshold = 400ms;
-    // An owner that other nodes report as failed for `step_down_after`, although it answers their probes, gives up its
-    // tenants until `step_down_duration` after the last such report. Reports end with the first answer received.
+    // An owner that other nodes report as failed for `step_down_after`, although it responds to their probes, releases
+    // its tenants until `step_down_duration` after the last such report. Reports end with the first response received.
     Duration step_down_after = 500ms;
     Duration step_down_duration = 1s;
     // A node owns no tenants for this long after its start: it learns the fleet from reports within 500 ms.
--- a/src/limits/owned_buckets.h
+++ b/src/limits/owned_buckets.h
@@ -70,7 +70,7 @@
         TokenBucket tokens;
         std::optional<Time> probation_ends_at; // Another owner may exist until then; nullopt: probation is over.
         std::optional<double> share {};        // Surveyed share of the fleet; upper bound during probation.
-        double provisional = 0;                // Initial units that were not handed over by a previous owner.
+        double provisional = 0;                // Initial units that were not handed off by a previous owner.
     };
     struct RecordedResponse {
         ChargeResponse response;
--- a/src/limits/owner_failure_detector.h
+++ b/src/limits/owner_failure_detector.h
@@ -1,8 +1,8 @@
 // Tracks owners that are unresponsive or decline ownership.
 //
-// A node that leaves charge requests unanswered is suspected and probed. A suspect receives no requests. It is declared
-// failed, so that the next node in the ranking takes over, only after it has answered no probe for some time: a node
-// that is merely unreachable from a single node must not get a second owner beside it.
+// A node that does not respond to charge requests is suspected and probed. A suspect receives no requests. It is
+// declared failed, so that the next node in the ranking takes over, only after it has responded to no probe for some
+// time: a node that is merely unreachable from a single node must not get a second owner beside it.
 #pragma once
 
 #include <cstdint>
@@ -28,14 +28,14 @@
     // Other nodes were asked whether they can reach the suspect.
     void record_survey(std::uint64_t node, std::size_t surveyed);
     void record_survey_reply(std::uint64_t node, std::uint64_t from);
-    // The node answered; it is no longer suspected. Returns whether it had been declared failed.
+    // The node responded; it is no longer suspected. Returns whether it had been declared failed.
     bool mark_responsive(Time now, std::uint64_t node);
-    // The node answered through the relay at that address; it stays suspected. Returns whether it had been declared
+    // The node responded through the relay at that address; it stays suspected. Returns whether it had been declared
     // failed.
     bool mark_reachable_via(Time now, std::uint64_t node, std::string const& relay_address);
     // Address of a node that relays to the suspect; empty: none.
     std::string relay_address(std::uint64_t node) const;
-    // Share of the surveyed nodes that answered before suspects were declared failed; nullopt: none is failed.
+    // Share of the surveyed nodes that responded before suspects were declared failed; nullopt: none is failed.
     std::optional<double> reachable_share_estimate() const;
     // The node declined ownership since it has just started or stops: it is unavailable for some time.
     void record_decline(Time now, std::uint64_t node);
@@ -67,7 +67,7 @@
     LimiterParameters parameters_;
     std::map<std::uint64_t, Suspect> suspects_;
     std::map<std::uint64_t, Time> declined_until_;
-    std::map<std::uint64_t, Time> responsive_at_; // When a former suspect last answered.
+    std::map<std::uint64_t, Time> responsive_at_; // When a former suspect last responded.
 };
 
 }
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -43,8 +43,8 @@
         level_ -= cost;
         return true;
     }
-    // Takes back what was filled while the rate was too high by `excess` during the last `duration`. The level may
-    // become negative.
+    // Removes the units that were filled while the rate was too high by `excess` during the last `duration`. The level
+    // may become negative.
     void revoke(Time now, double excess, Duration duration)
     {
         fill(now);
--- a/tests/limits/limit_failures_test.cc
+++ b/tests/limits/limit_failures_test.cc
@@ -144,7 +144,7 @@
     EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, OwnerThatOneNodeCannotHearIsNotReplacedAndStillServesThatNode)
+TEST_F(LimitFailuresTest, OwnerWhoseMessagesDoNotReachOneNodeIsNotReplacedAndStillServesThatNode)
 {
     auto const node = node_other_than(owner_);
     fleet_.block_link(owner_, node);
@@ -155,7 +155,7 @@
     EXPECT_LE(excess(), 0);
 }
 
-TEST_F(LimitFailuresTest, OwnerThatCannotHearOneNodeIsReachedThroughRelays)
+TEST_F(LimitFailuresTest, OwnerThatOneNodeCannotReachIsReachedThroughRelays)
 {
     auto const node = node_other_than(owner_);
     fleet_.block_link(node, owner_);
@@ -164,7 +164,7 @@
     EXPECT_LT(refused_share_during(8s), 0.01);
 }
 
-TEST_F(LimitFailuresTest, OwnerThatNoNodeHearsStepsDown)
+TEST_F(LimitFailuresTest, OwnerWhoseMessagesReachNoNodeStepsDown)
 {
     for (int node = 0; node < fleet_.size(); ++node)
         fleet_.block_link(owner_, node);
--- a/tests/limits/limit_fleet.cc
+++ b/tests/limits/limit_fleet.cc
@@ -120,7 +120,7 @@
     node.limiter->set_nodes(now_, known);
 }
 
-// Reports name other nodes, so a node that only others can hear is known as well.
+// Reports name other nodes, so a node whose reports reach only others is known as well.
 Time LimitFleet::last_report_through_others(int index, int node) const
 {
     Time last {};
--- a/tests/limits/limiter_components_test.cc
+++ b/tests/limits/limiter_components_test.cc
@@ -176,14 +176,14 @@
     EXPECT_TRUE(failed_until(100ms).empty());
     EXPECT_EQ(failed_until(200ms), std::vector<std::uint64_t> { 7 });
     EXPECT_TRUE(detector_.is_unavailable(start + 200ms, 7));
-    // It stays unavailable until it answers.
+    // It stays unavailable until it responds.
     failed_until(60s);
     EXPECT_TRUE(detector_.is_unavailable(start + 60s, 7));
     EXPECT_TRUE(detector_.mark_responsive(start + 60s, 7));
     EXPECT_FALSE(detector_.is_unavailable(start + 60s, 7));
 }
 
-TEST_F(OwnerFailureDetectorTest, NodeThatAnswersThroughARelayIsNotFailed)
+TEST_F(OwnerFailureDetectorTest, NodeThatRespondsThroughARelayIsNotFailed)
 {
     detector_.suspect(start, 7);
     failed_until(100ms);
