--- a/include/saltquay/admission/concurrency_window.h
+++ b/include/saltquay/admission/concurrency_window.h
@@ -51,7 +51,7 @@
     void record_dispatch() { ++in_flight_; }
     // Records that a prompt ended with any outcome.
     void record_completion() { --in_flight_; }
-    // Records that a prompt was answered after `took`; `target`: its latency target.
+    // Records that the response to a prompt came after `took`; `target`: its latency target.
     void record_latency(Time now, Duration took, Duration target);
     // Records that an engine rejected a prompt because it was full.
     void record_rejection(Time now, Duration target);
--- a/include/saltquay/duties/usage_counter.h
+++ b/include/saltquay/duties/usage_counter.h
@@ -1,7 +1,7 @@
 // Counts the requests of each tenant that began to execute through this node, by window.
 //
 // Counts only grow, so messages that carry them may be lost, duplicated or reordered: the maximum is correct. Changed
-// counts are sent several times in a row, and all counts periodically. A node that is killed loses what it counted
+// counts are sent several times in a row, and all counts periodically. A node that is killed loses the counts
 // since its last message.
 #pragma once
 
--- a/src/gateway/fleet_coordinator.cc
+++ b/src/gateway/fleet_coordinator.cc
@@ -13,11 +13,11 @@
 constexpr std::chrono::milliseconds kDigestCacheUpdateRepeatTime{600};
 // Maximum number of peers listed in a report, so that its size does not grow with the fleet.
 constexpr std::size_t kMaxListedPeers = 24;
-// The first reports of a node are answered immediately with a full report, since it knows few other nodes.
+// The first reports of a node are immediately responded to with a full report, since it knows few other nodes.
 constexpr std::uint64_t kIntroductionReports = 3;
 // A node that was not listed by any peer for this long, plus two full cycles of the peer listing, counts as lost.
 constexpr Duration kListedTimeout = 1500ms;
-// Digests arrive every 100 ms; a node that receives none for this long is cut off from the fleet.
+// Digests arrive every 100 ms; a node that receives none for this long is partitioned from the fleet.
 constexpr Duration kDigestTimeout = 500ms;
 // The same for a small fleet, where every node reports to every other one each 400 ms.
 constexpr Duration kReportTimeout = 1s;
@@ -337,8 +337,8 @@
   }
   // A node that receives no digests gets no usage counts from its peers: in a large fleet it leaves the lease to
   // others.
-  const bool hears_peers = !fleet_.IsLarge(peers_.Nodes()) || fleet_.View(now) != nullptr;
-  if (!stopping_ && store_connected_ && hears_peers) lease_client_.Step(kLeaseMargin, duties_.own_rank());
+  const bool receives_usage_counts = !fleet_.IsLarge(peers_.Nodes()) || fleet_.View(now) != nullptr;
+  if (!stopping_ && store_connected_ && receives_usage_counts) lease_client_.Step(kLeaseMargin, duties_.own_rank());
 }
 
 serving::LeaseMark FleetCoordinator::LocalLeaseMark() const {
--- a/src/gateway/gateway_process.cc
+++ b/src/gateway/gateway_process.cc
@@ -40,7 +40,7 @@
   return options;
 }
 
-void Answer(const std::shared_ptr<http::Exchange>& exchange, int status, std::string_view body) {
+void SendTextResponse(const std::shared_ptr<http::Exchange>& exchange, int status, std::string_view body) {
   http::ResponseHead head;
   head.status = status;
   exchange->Respond(head, body);
@@ -211,11 +211,11 @@
     last_ready_ = ready;
     if (ready) gateway_.Log(EventId::kNodeReady, "", fmt::format(R"("version":{})", gateway_.core().version()));
   }
-  Answer(exchange, ready ? kOk : kUnavailable, ready ? "ready\n" : "not ready\n");
+  SendTextResponse(exchange, ready ? kOk : kUnavailable, ready ? "ready\n" : "not ready\n");
 }
 
 void GatewayProcess::HandleMetricsRequest(const std::shared_ptr<http::Exchange>& exchange) {
-  if (http::PathOf(exchange->head.target) != "/metrics") return Answer(exchange, kNotFound, "see /metrics\n");
+  if (http::PathOf(exchange->head.target) != "/metrics") return SendTextResponse(exchange, kNotFound, "see /metrics\n");
   gateway_.metrics().SetState(static_cast<double>(gateway_.core().version()),
                               static_cast<double>(gateway_.core().engines().all().size()),
                               static_cast<double>(gateway_.open_requests()), static_cast<double>(log_.dropped()));
--- a/src/replica/relayed_store_freshness.cc
+++ b/src/replica/relayed_store_freshness.cc
@@ -46,7 +46,7 @@
 {
     report_freshness_change(kind);
     auto& state = kind_state(kind);
-    // A list or a retry delay is in progress; what follows it sends a new request.
+    // A list or a retry delay is in progress; its completion sends a new request.
     if (!state.watching)
         return;
     if (!state.reads_store) {
--- a/tests/admission/prefill_queue_test.cc
+++ b/tests/admission/prefill_queue_test.cc
@@ -58,7 +58,7 @@
     queue->commit(1);
     queue->add(prompt(2, 10));
     EXPECT_EQ(first(*queue, Time { 2s }), 1U);
-    EXPECT_EQ(first(*queue, Time { 4s }), 1U); // A committed prompt keeps its place after its prefill deadline.
+    EXPECT_EQ(first(*queue, Time { 4s }), 1U); // A committed prompt keeps its position after its prefill deadline.
     EXPECT_EQ(queue->committed(), 1U);
     queue->remove(1);
     EXPECT_EQ(queue->committed(), 0U);
--- a/tests/gateway/gateway_test.cc
+++ b/tests/gateway/gateway_test.cc
@@ -35,7 +35,7 @@
     settings.parameters.retry_budget.slack = 100;
     settings.first_start = true;  // The retry budget starts unspent: there was no earlier process.
     gateway_ = std::make_unique<Gateway>(loop_, settings, EngineProtocol(EngineProtocolFields{}), *log_, 3);
-    // It has no peers and knows it, as FleetCoordinator tells one that listens for none.
+    // It has no peers and knows so: FleetCoordinator sends this to a gateway that does not listen for peers.
     gateway_->Dispatch(serving::PeersChanged{});
     server_ = std::move(
         *http::Server::Listen(loop_, "127.0.0.1:0", http::ServerLimits{},
@@ -220,8 +220,8 @@
 
 // While a machine is suspended, neither the event loop nor std::chrono::steady_clock advances.
 TEST_F(GatewayTest, OverdueTimersFireImmediatelyAfterResume) {
-  ScriptedServer silent({[](ScriptedConnection& connection) { connection.ReadToEnd(); }});
-  Serve({silent.address()}, serving::RouteKind::kAtMostOnce);
+  ScriptedServer unresponsive({[](ScriptedConnection& connection) { connection.ReadToEnd(); }});
+  Serve({unresponsive.address()}, serving::RouteKind::kAtMostOnce);
   std::string response;
   std::thread client_thread([&] { response = SendRequest("r1"); });
   ReadLog("request_routed");
--- a/tests/gateway/quarantine_store_test.cc
+++ b/tests/gateway/quarantine_store_test.cc
@@ -36,7 +36,7 @@
     if (stored.revision != object.revision) return Post(done, absl::AbortedError("another write won"));
     stored = object;
     ++stored.revision;
-    if (lost_responses-- > 0) return Post(done, absl::DeadlineExceededError("no answer"));
+    if (lost_responses-- > 0) return Post(done, absl::DeadlineExceededError("no response"));
     Post(done, stored);
   }
   void Read(const std::string& kind, const std::string& name,
--- a/tests/platform/platform_test.cc
+++ b/tests/platform/platform_test.cc
@@ -338,8 +338,8 @@
   EXPECT_TRUE(absl::IsUnavailable(Run<gateway::StoredObject>(refusing.address(), write).status()));
   ScriptedServer closing({[](ScriptedConnection& connection) { connection.ReadUntil("}}"); }});
   EXPECT_TRUE(absl::IsDeadlineExceeded(Run<gateway::StoredObject>(closing.address(), write).status()));
-  ScriptedServer silent({[](ScriptedConnection& connection) { connection.ReadToEnd(); }});
-  EXPECT_TRUE(absl::IsDeadlineExceeded(Run<gateway::StoredObject>(silent.address(), write).status()));
+  ScriptedServer unresponsive({[](ScriptedConnection& connection) { connection.ReadToEnd(); }});
+  EXPECT_TRUE(absl::IsDeadlineExceeded(Run<gateway::StoredObject>(unresponsive.address(), write).status()));
 }
 
 TEST_F(StoreTest, WatchReturnsChangesAndReportsMissingHistory) {
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -5,8 +5,8 @@
 
 Faults, several at a time:
 - Proxies in front of engines and the store delay, reset or swallow data, in one or both directions. Open connections
-  go silent for good while new ones work. Every gateway has its own proxy to the store, so that single gateways can be
-  cut off from it.
+  are blackholed for good while new ones work. Every gateway has its own proxy to the store, so that single gateways
+  can be disconnected from it.
 - The store refuses calls; another writer corrupts the records of engines.
 - Engines lose responses, drain, or restart under the same id.
 - Gateways are stopped, paused, reloaded and killed, alone, in series and all at once, and are started again.
--- a/tests/platform/soak_faults.py
+++ b/tests/platform/soak_faults.py
@@ -76,7 +76,7 @@
         asyncio.get_running_loop().call_later(self.rng.uniform(0.5, 4), self.set_link, name, "pass")
 
     async def silence_open_connections(self):
-        """Makes all open connections silent without closing them; new connections work."""
+        """Blackholes all open connections without closing them; new connections work."""
         if self.rng.random() < 0.6:
             return  # Affects every gateway, so it is injected less often than the other faults.
         self.log_fault("connections", "all", "silent")
--- a/tests/platform/soak_standins.py
+++ b/tests/platform/soak_standins.py
@@ -284,12 +284,12 @@
 
 
 class Proxy:
-    """Forwards bytes to a local port and injects faults: delay, reset, one way, silence. It can also silence all open
+    """Forwards bytes to a local port and injects faults: delay, reset, one way, silence. It can also blackhole all open
     connections for good."""
 
     def __init__(self, target_port):
         self.target_port, self.mode, self.writers = target_port, "pass", set()
-        self.silenced = set()  # Writers of connections that were silenced for good; new connections work.
+        self.blackholed = set()  # Writers of connections that were blackholed for good; new connections work.
 
     async def start(self):
         self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
@@ -301,7 +301,7 @@
             self.abort_open_connections()
 
     def silence_open_connections(self):
-        self.silenced |= self.writers
+        self.blackholed |= self.writers
 
     def abort_open_connections(self):
         for writer in list(self.writers):
@@ -327,14 +327,14 @@
         except asyncio.CancelledError:
             pass  # The soak test has ended.
         self.writers -= {writer, up_writer}
-        self.silenced -= {writer, up_writer}
+        self.blackholed -= {writer, up_writer}
 
     async def _pump(self, reader, writer, forward):
         try:
             while data := await reader.read(65536):
                 while self.mode == "silence" or (self.mode == "one way" and not forward):
                     await asyncio.sleep(0.05)
-                if writer in self.silenced:
+                if writer in self.blackholed:
                     continue
                 if self.mode == "delay":
                     await asyncio.sleep(random.uniform(0.02, 0.2))
--- a/tests/replica/replica_fleet.h
+++ b/tests/replica/replica_fleet.h
@@ -65,7 +65,7 @@
 private:
     struct Call {
         std::int64_t since = 0;
-        Time until {};      // A watch without changes is answered then.
+        Time until {};      // When a watch without changes responds.
         Time timeout_at {}; // When the store's client times out.
         std::uint64_t epoch = 0;
         std::function<void(absl::Status const&)> done;
--- a/tests/replica/upstream_selector_test.cc
+++ b/tests/replica/upstream_selector_test.cc
@@ -1,4 +1,4 @@
-// Which nodes read the store, and which node each of the others follows.
+// Tests which nodes read the store, and which node each of the others follows.
 #include <algorithm>
 #include <set>
 
