--- a/src/core/serving/serving_core.h
+++ b/src/core/serving/serving_core.h
@@ -278,7 +278,7 @@
   RetryBudgetShare retry_budget_share_;
   Random random_;
   std::optional<ServingConfig> config_;
-  // An attempt that goes on although its client has disconnected.
+  // An attempt that continues although its client has disconnected.
   struct DetachedAttempt {
     std::string engine_id;
     std::uint64_t fingerprint = 0;
--- a/src/gateway/log_explainer.h
+++ b/src/gateway/log_explainer.h
@@ -24,8 +24,8 @@
 
 class LogExplainer {
  public:
-  // Adds the lines of one log. Lines that are not events are recorded in bad_lines() and skipped; text before the first
-  // brace is dropped.
+  // Adds the lines of one log. Lines that are not events are recorded in unparsed_lines() and skipped; text before the
+  // first brace is dropped.
   void Read(std::istream& log, const std::string& source);
 
   // The lines of a request in chronological order, with the last lines of the same nodes before the end of the request
--- a/src/limits/distributed_limiter.h
+++ b/src/limits/distributed_limiter.h
@@ -58,7 +58,7 @@
         std::uint64_t request = 0;
         ChargeRequest sent;
         std::uint64_t target = 0; // Hash of the node that the request was sent to.
-        int attempts = 0;         // Requests to that node without a response.
+        int attempts = 0;         // Requests sent to that node without a response.
         Time resend_at {};
         Time expires_at {};
     };
--- a/tests/core/serving/flow_test.cc
+++ b/tests/core/serving/flow_test.cc
@@ -147,8 +147,8 @@
   EXPECT_NE(second.engine_id, first.engine_id);
 }
 
-// Guards against: the address of a dead engine responds with 421 to each KV handoff, and the prompt is prefilled again
-// each time.
+// Guards against: the address of a crashed engine responds with 421 to each KV handoff, and the prompt is prefilled
+// again each time.
 TEST_F(FlowTest, MisdirectedHandoffKeepsTheKvCacheAndEjectsTheEngine) {
   Arrive("lone", LongPrompt());
   Answer(One<StartAttempt>(), 200, false, "handle");
--- a/tests/core/serving/idle_connections_test.cc
+++ b/tests/core/serving/idle_connections_test.cc
@@ -17,7 +17,7 @@
   EXPECT_EQ(dropped.front().address, start.address);
 }
 
-// Guards against: a request and its retry both wait on idle connections that died together.
+// Guards against: a request and its retry both wait on idle connections that were lost together.
 TEST_F(IdleConnectionsTest, RetryAfterNoResponseUsesANewConnection) {
   Arrive("safe");
   EXPECT_FALSE(One<StartAttempt>().on_new_connection);
--- a/tests/core/serving/multi_region_selection_test.cc
+++ b/tests/core/serving/multi_region_selection_test.cc
@@ -77,7 +77,7 @@
 }
 
 // Guards against sending a request to a full engine in the KV cache's zone, where it preempts a stream, while an engine
-// in the next zone is idle. Happened with few slots per engine.
+// in the next zone is idle. Occurred with few slots per engine.
 TEST_F(MultiRegionSelectionTest, AnIdleEngineInTheNextZoneIsPreferredToAFullOne) {
   AddEngines(EngineStage::kDecode, 1);
   EngineSelector selector = SelectorIn("n1");
--- a/tests/core/serving/role_controller_test.cc
+++ b/tests/core/serving/role_controller_test.cc
@@ -140,7 +140,7 @@
 }
 
 TEST_F(ControllerTest, AChangingEngineIsHeldUntilItsRecordShowsTheStage) {
-  // Found in the first benchmark run: other nodes handed prompts over to engines that were changing (425k tokens
+  // Found in the first benchmark run: other nodes handed prompts off to engines that were changing (425k tokens
   // processed in vain).
   const auto read = TickUntil<ReadEngineState>(5s);
   ASSERT_TRUE(read);
