--- a/src/core/serving/engine_selector.cc
+++ b/src/core/serving/engine_selector.cc
@@ -128,7 +128,7 @@
   const std::vector<double> pressure = BacklogPressure(group, now);
   const std::size_t count = group.all().size();
   const double mean_unreported_ms =
-      unreported_work_.prompt_tokens / static_cast<double>(std::max<std::size_t>(1, count)) / read_rate();
+      unreported_work_.prompt_tokens / static_cast<double>(std::max<std::size_t>(1, count)) / median_prefill_rate();
   const Candidates& candidates = CandidatesOf(group, index_.own_zone());
   if (&candidates == &sampled_) {
     for (const EngineState* home : {homes.first, homes.second}) {
@@ -146,7 +146,7 @@
     if (&engine == homes.second)
       return network_cost + PrefillCost(engine, prompt, recompute * uncached, now) + mean_unreported_ms;
     // Home engines differ between prompts, but all nodes would choose the same engine among the others.
-    const double unreported_ms = DrawUnreportedWork(unreported_work_.prompt_tokens, count) / read_rate();
+    const double unreported_ms = DrawUnreportedWork(unreported_work_.prompt_tokens, count) / median_prefill_rate();
     return network_cost + PrefillCost(engine, prompt, recompute * parameters_.non_home_weight * uncached, now) +
            unreported_ms;
   });
@@ -175,7 +175,7 @@
     if (!candidate.engine->IsOutOfService(now))
       min_tokens = std::min(min_tokens, TokensToPrefill(candidate.engine->key, prompt, now));
   }
-  return min_tokens / read_rate();
+  return min_tokens / median_prefill_rate();
 }
 
 const EngineState* EngineSelector::FindCachingEngine(EngineDirectory& engines, const EngineState& prefill_engine,
@@ -232,19 +232,19 @@
 
 std::vector<double> EngineSelector::BacklogPressure(EngineGroup& group, Time now) const {
   std::vector<double> pressure = group.Totals(now).waiting_tokens;
-  for (double& region : pressure) region /= read_rate() * parameters_.backlog_pressure_ms;
+  for (double& region : pressure) region /= median_prefill_rate() * parameters_.backlog_pressure_ms;
   return pressure;
 }
 
 double EngineSelector::UncachedPrefillMs(const EngineState& engine, const PromptMetadata& prompt, Time now) const {
-  return std::max(0, TokensToPrefill(engine.key, prompt, now) - UnsharedTokens(prompt)) / read_rate();
+  return std::max(0, TokensToPrefill(engine.key, prompt, now) - UnsharedTokens(prompt)) / median_prefill_rate();
 }
 
 double EngineSelector::PrefillCost(const EngineState& engine, const PromptMetadata& prompt, double uncached_ms,
                                    Time now) const {
   const double others_by_load = std::max(0.0, EstimatedLoad(engine, now) - engine.outstanding) * UnsharedTokens(prompt);
   const double others = has_peer_reports_ ? static_cast<double>(engine.peers_prompt_tokens) : others_by_load;
-  const double backlog = (static_cast<double>(engine.outstanding_prompt_tokens) + others) / read_rate();
+  const double backlog = (static_cast<double>(engine.outstanding_prompt_tokens) + others) / median_prefill_rate();
   const bool decodes_too = engine.record.stage == EngineStage::kUniform;
   const double decode_delay_ms = decodes_too ? parameters_.decode_load_ms * EstimatedLoad(engine, now) : 0.0;
   return backlog + uncached_ms + decode_delay_ms;
--- a/src/core/serving/engine_selector.h
+++ b/src/core/serving/engine_selector.h
@@ -48,7 +48,7 @@
         topology_(zone, parameters.regions, parameters.distances),
         zone_(zone),
         random_(seed),
-        prefill_time_model_(parameters.reading),
+        prefill_time_model_(parameters.prefill_time_model),
         prompt_cache_(parameters.cached_part_lifetime) {}
 
   const Topology& topology() const { return topology_; }
@@ -95,8 +95,8 @@
   void set_has_peer_reports(bool known) { has_peer_reports_ = known; }
   void set_unreported_work(const UnreportedWork& unreported) { unreported_work_ = unreported; }
   // Prompt tokens processed per millisecond.
-  double read_rate() const { return prefill_time_model_.median_rate(); }
-  const admission::PrefillTimeModel& reading() const { return prefill_time_model_; }
+  double median_prefill_rate() const { return prefill_time_model_.median_rate(); }
+  const admission::PrefillTimeModel& prefill_time_model() const { return prefill_time_model_; }
 
  private:
   using Candidates = std::vector<IndexedEngine>;
--- a/src/core/serving/prefill_steps.cc
+++ b/src/core/serving/prefill_steps.cc
@@ -43,7 +43,8 @@
       state.decode_start_ms > 0 ? state.decode_start_ms : parameters_.initial_decode_start_share * ObjectiveMs(flow);
   const double mean_ms = ToSeconds(state.prefill_window.mean_latency()) * kInMilliseconds;
   // Until prefill times are measured, the estimate of this prompt's cost must not make it count as late.
-  const double prefill_time_ms = selector_.reading().learned() ? std::max(prompt.prefill_cost_ms, mean_ms) : mean_ms;
+  const double prefill_time_ms =
+      selector_.prefill_time_model().learned() ? std::max(prompt.prefill_cost_ms, mean_ms) : mean_ms;
   const double ahead = prefill_time_ms + decode_start;
   prompt.prefill_deadline = flow.arrived + flow.route.objective - FromSeconds(ahead * kMillisecond);
   return prompt;
@@ -162,7 +163,8 @@
 Duration ServingCore::PrefillTarget(const Flow& flow, const Attempt& attempt) const {
   const double share_ms = parameters_.prefill_target_share * ObjectiveMs(flow);
   const double factor = parameters_.prefill_target_factor * (attempt.mode == AttemptMode::kPrefill ? 1 : 2);
-  return FromSeconds(kMillisecond * std::max(share_ms, factor * selector_.reading().predict_ms(attempt.prompt_tokens)));
+  return FromSeconds(kMillisecond *
+                     std::max(share_ms, factor * selector_.prefill_time_model().predict_ms(attempt.prompt_tokens)));
 }
 
 void ServingCore::RecordPrefillDone(const Attempt& attempt) {
@@ -179,7 +181,7 @@
     return false;
   constexpr double kDecodePrefillSlowdown = 2;
   const int tokens = UnsharedTokens(*flow.metadata.prompt);  // The shared parts are cached there or copied.
-  const double prefill_ms = kDecodePrefillSlowdown * selector_.reading().predict_ms(tokens);
+  const double prefill_ms = kDecodePrefillSlowdown * selector_.prefill_time_model().predict_ms(tokens);
   if (prefill_ms > parameters_.overflow_prefill_share * ObjectiveMs(flow)) return false;
   if (flow.arrivals > 0) ChargeRetryBudget(flow, ExtraArrival::kExecutionRetried);
   ++flow.arrivals;
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -132,11 +132,11 @@
   constexpr double kDecodePrefillSlowdown = 2;
   if (!flow.language || flow.prefill_metered) return;
   flow.prefill_metered = true;
-  const double seconds = static_cast<double>(tokens) / selector_.read_rate() / kSecond;
+  const double seconds = static_cast<double>(tokens) / selector_.median_prefill_rate() / kSecond;
   DemandMeter& meter = demand_.try_emplace(flow.service, parameters_.demand_averaging_time).first->second;
   if (separate) {
     meter.prefill.Add(seconds, now_);
-    const double prefill_rate = std::max(selector_.reading().rate(), selector_.read_rate());
+    const double prefill_rate = std::max(selector_.prefill_time_model().rate(), selector_.median_prefill_rate());
     meter.reading.Add(static_cast<double>(tokens) / prefill_rate / kSecond, now_);
   } else {
     meter.decode.Add(kDecodePrefillSlowdown * seconds, now_);
--- a/src/core/serving/serving_parameters.h
+++ b/src/core/serving/serving_parameters.h
@@ -31,7 +31,7 @@
   // Prompts up to this size are prefilled by the engine that decodes them.
   int max_unsplit_prompt_tokens = 1024;
   // How prefill times are estimated.
-  admission::PrefillTimeModelParameters reading;
+  admission::PrefillTimeModelParameters prefill_time_model;
   // A load that an engine reported loses weight with age and is ignored from this age on.
   Duration load_report_lifetime = 2s;
   // Approximate time for which an engine keeps a prompt part cached after its last use.
--- a/src/core/serving/timeout_steps.cc
+++ b/src/core/serving/timeout_steps.cc
@@ -28,7 +28,7 @@
   constexpr double kMillisecond = 0.001;
   // The outstanding tokens include this prompt's.
   const auto tokens = static_cast<double>(engine.outstanding_prompt_tokens + engine.peers_prompt_tokens);
-  const Duration expected = FromSeconds(kMillisecond * tokens / selector_.reading().rate());
+  const Duration expected = FromSeconds(kMillisecond * tokens / selector_.prefill_time_model().rate());
   return parameters_.unresponsive_timeout + FromSeconds(parameters_.prefill_timeout_factor * ToSeconds(expected));
 }
 
--- a/tests/core/serving/engine_index_test.cc
+++ b/tests/core/serving/engine_index_test.cc
@@ -89,7 +89,7 @@
   EngineState* caching_engine = engines_.Find("p17");
   selector_.RecordPrefill(caching_engine->key, prompt, kNow);
   EXPECT_EQ(selector_.FindCopySource(engines_, *home, prompt, kNow), caching_engine);
-  EXPECT_DOUBLE_EQ(selector_.MinPrefillMs(engines_, "s", prompt, kNow), 3000 / selector_.read_rate());
+  EXPECT_DOUBLE_EQ(selector_.MinPrefillMs(engines_, "s", prompt, kNow), 3000 / selector_.median_prefill_rate());
 }
 
 TEST_F(ManyEnginesTest, AFreeEngineIsFoundInAnyZone) {
--- a/tests/core/serving/multi_region_selection_test.cc
+++ b/tests/core/serving/multi_region_selection_test.cc
@@ -100,7 +100,7 @@
       MakeParameters().rtt_weight * 2 * ToSeconds(MakeParameters().distances.between_regions) * 1000;
   const auto queue = [&](double ms) {
     ForRegion("n", [&](EngineState& engine) {
-      engine.outstanding_prompt_tokens = static_cast<std::int64_t>(ms * selector.read_rate());
+      engine.outstanding_prompt_tokens = static_cast<std::int64_t>(ms * selector.median_prefill_rate());
     });
   };
   queue(latency_cost_ms / 2);
@@ -170,7 +170,7 @@
     in_other_regions += RegionOf(*prefill_engine) == "n" ? 0 : 1;
     const double latency_cost_ms =
         MakeParameters().rtt_weight * 2 * ToSeconds(MakeParameters().distances.between_regions) * 1000;
-    EXPECT_LT(static_cast<double>(prefill_engine->outstanding_prompt_tokens) / selector.read_rate(),
+    EXPECT_LT(static_cast<double>(prefill_engine->outstanding_prompt_tokens) / selector.median_prefill_rate(),
               latency_cost_ms + kMaxBacklogMs);
   }
   EXPECT_GT(in_other_regions, 0);
