--- a/include/saltquay/duties/fleet_clock.h
+++ b/include/saltquay/duties/fleet_clock.h
@@ -2,7 +2,7 @@
 //
 // A machine's wall clock may be off by seconds and may jump. Each node reports its wall clock to its peers; relative to
 // the local monotonic clock that gives one offset per node. The median of the offsets is not affected by a minority of
-// wrong clocks, however they jump. Network time is neglected: it is a few milliseconds.
+// wrong clocks, however they jump. The transit time of the reports is neglected: it is a few milliseconds.
 #pragma once
 
 #include <chrono>
@@ -24,7 +24,7 @@
     // Records the reading of a peer's wall clock in a message that arrived at `now`.
     void record_peer_clock(std::string_view node, Time now, WallTime);
 
-    // The median of the recently reported peer clocks and this machine's clock.
+    // The median of this machine's clock and the peer clocks reported within `sample_retention` (see the source file).
     WallTime at(Time now) const;
     // How far this machine's clock is ahead of the fleet's; negative if behind.
     std::chrono::milliseconds local_clock_error(Time now) const;
--- a/src/admission/prefill_queue.cc
+++ b/src/admission/prefill_queue.cc
@@ -26,7 +26,7 @@
         prompts_.erase(entry);
     }
 
-    // Later arrivals cannot overtake a prompt in this queue.
+    // Does nothing: the order is fixed. Later arrivals cannot overtake a prompt, and it never overtakes earlier ones.
     void commit(PromptId) override { }
     std::size_t committed() const override { return 0; }
 
@@ -50,8 +50,8 @@
 };
 
 // Committed prompts come first, then prompts by the priority of their route and, within one priority, by value per
-// millisecond of engine time. Prompts that miss their objective move to the late lane, which is ordered by arrival so
-// that expensive prompts do not starve.
+// millisecond of engine time. Prompts that can no longer meet their objective move to the late lane, which is ordered
+// by arrival so that expensive prompts do not starve.
 class ValuePerCostQueue final : public PrefillQueue {
 public:
     void add(QueuedPrompt const& prompt) override
@@ -76,19 +76,19 @@
 
     std::vector<PrefillCandidate> next(Time now, std::size_t max_per_lane) override
     {
-        move_expired_to_late_lane(now);
+        move_overdue_to_late_lane(now);
         std::vector<PrefillCandidate> candidates;
         for (auto const id : committed_)
             candidates.push_back({ id, Lane::InTime });
-        auto const in_time = candidates.size() + max_per_lane;
+        auto const max_with_in_time = candidates.size() + max_per_lane;
         for (auto const& ranked : in_time_) {
-            if (candidates.size() >= in_time)
+            if (candidates.size() >= max_with_in_time)
                 break;
             candidates.push_back({ ranked.id, Lane::InTime });
         }
-        auto const all = candidates.size() + max_per_lane;
+        auto const max_with_late = candidates.size() + max_per_lane;
         for (auto const& [arrived, id] : late_) {
-            if (candidates.size() == all)
+            if (candidates.size() == max_with_late)
                 break;
             candidates.push_back({ id, Lane::Late });
         }
@@ -122,7 +122,7 @@
         return { prompt.route_priority, prompt.prefill_cost_ms / prompt.prompt_value, prompt.id };
     }
 
-    void move_expired_to_late_lane(Time now)
+    void move_overdue_to_late_lane(Time now)
     {
         while (!prefill_deadlines_.empty() && prefill_deadlines_.begin()->first < now) {
             auto const& prompt = prompts_.at(prefill_deadlines_.begin()->second);
--- a/src/core/serving/crash_ledger.h
+++ b/src/core/serving/crash_ledger.h
@@ -4,13 +4,13 @@
 // holds the union, so marks may arrive in any order, repeatedly and from any node. A request with
 // `quarantine_threshold` crashes is quarantined: no node sends it to an engine until `quarantine` after the last crash.
 // After that it may be tried again; its crashes are remembered for `retention`, so one more quarantines it again at
-// once. A successful execution clears all earlier crashes: a request that crashes engines never succeeds, one that
-// merely ran next to it does. Clearances are exchanged like crashes; a later one supersedes. Marks carry ages, not
-// times, so that nodes need no common clock.
+// once. A successful execution clears all earlier crashes. This assumes that a request that crashes engines never
+// succeeds, whereas one that merely ran next to it does. Clearances are exchanged like crashes; each supersedes all
+// earlier crashes and clearances of its request. Marks carry ages, not times, so that nodes need no common clock.
 //
-// Cost: an innocent request that happens to run at three engines that crash in a row, without succeeding in between, is
-// refused for `quarantine`. A request that crashes engines takes down `quarantine_threshold` of them, plus those at
-// which other nodes start it before they learn of the last of these crashes.
+// Drawback: an innocent request that happens to run at `quarantine_threshold` engines that crash, without succeeding in
+// between, is refused for `quarantine`. A request that crashes engines takes down `quarantine_threshold` of them, plus
+// those at which other nodes start it before they learn of the last of these crashes.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,8 @@
 
 namespace saltquay::serving {
 
-// A request was at an engine that crashed; or, with key 0, an execution of the request succeeded.
+// A request was at an engine that crashed; or, if `engine.hash` is 0, an execution of the request succeeded (a
+// clearance).
 struct CrashMark {
   std::uint64_t request = 0;  // Fingerprint.
   EngineKey engine;
@@ -35,7 +36,8 @@
 };
 
 struct CrashLedgerParameters {
-  // The platform's rule counts executions that are started after the third crash.
+  // The platform's rule counts the executions of a request that are started after its third crash, hence the
+  // request is quarantined from that crash on.
   int quarantine_threshold = 3;
   // Clients stop retrying at their deadlines, after seconds; a crashed engine is missing for four or five seconds.
   Duration quarantine = 300s;
@@ -43,8 +45,8 @@
   // About 300 bytes each. Beyond the limit, requests with the fewest crashes are evicted first, the oldest among them
   // before others.
   std::size_t max_ledger_requests = 1024;
-  // How long a change is included in every message: five reports in a small fleet or twenty digests in a large one,
-  // some of which may be lost.
+  // How long a change is included in every message: five reports to peers in a small fleet or twenty digests in a large
+  // one (sums of many nodes' reports, see fleet_exchange.h). Some of these messages may be lost.
   Duration recent_period = 2s;
   std::size_t max_recent_marks = 48;  // Per message; a mark takes 24 bytes.
   // Older marks, of requests with two or more crashes, that each message repeats in round-robin order for the benefit
@@ -57,11 +59,12 @@
  public:
   explicit CrashLedger(const CrashLedgerParameters& parameters) : parameters_(parameters) {}
 
-  // This node observed that an engine crashed while it had the request. Returns whether that was unknown.
+  // This node observed that an engine crashed while it had the request. Returns whether the crash was added to the
+  // ledger.
   bool RecordCrash(std::uint64_t request, EngineKey engine, Time at, Time now);
   // An execution of the request succeeded. Returns whether that cleared any crashes.
   bool RecordSuccess(std::uint64_t request, Time now);
-  // Merges marks of another node. Returns the requests for which anything was unknown.
+  // Merges marks of another node. Returns the requests of which a crash or a clearance was new to this ledger.
   std::vector<std::uint64_t> Merge(std::span<const CrashMark> marks, Time now);
 
   // For how long the request must not be sent to an engine; nothing if it may be sent.
@@ -74,7 +77,8 @@
   std::size_t QuarantinedCount(Time now) const;
   // Quarantined requests of which this node itself observed a crash.
   std::vector<std::uint64_t> LocallyObservedQuarantined(Time now) const;
-  // The crashes of quarantined requests, for persistent storage; limited to the `max_persisted_requests` latest ones.
+  // All crashes of the quarantined requests, for persistent storage; if these are more than `max_persisted_requests`,
+  // of the requests with the latest crashes.
   std::vector<CrashMark> QuarantineMarks(Time now) const;
 
  private:
--- a/src/core/serving/duty_lease.h
+++ b/src/core/serving/duty_lease.h
@@ -1,15 +1,16 @@
-// A lease in the object store that elects the one node that orders engine stage changes and performs the duties toward
-// the platform.
+// A lease in the object store that elects the one node that orders stage changes of engines (for example from prefill
+// to decode) and performs the duties toward the platform (usage reports and scaling orders).
 //
 // Protocol. The lease is one object in the store. Its holder is the node whose conditional write created the current
 // revision. The revision of a holder's first write is its fencing token (unique and increasing). The holder keeps that
 // token across renewals, so that a delayed call never carries a lower token than calls that arrived before it. The
-// holder may act for `window`, measured from before its last write was sent, and renews the lease before it acts again.
-// Another node takes over only after it has seen one revision unchanged for lease + window + margin, so actions of two
-// holders are at least one lease apart. Nodes learn of revisions from the store or from peers; a conditional write
-// shows whether the revision was still current. A holder that shuts down resigns. If the holder restarts on the same
-// machine, it takes the lease again at once, because no other node can have held it in between. A write without a
-// response is resolved by reading the object back: the nonce shows whose write succeeded.
+// holder may act for `window`, measured from just before it sent its last successful write, and renews the lease before
+// it acts again. Another node takes over only after it has seen one revision unchanged for `lease` + `window` +
+// `margin` (see DutyLeaseTimes), so actions of two holders are at least `lease` apart. Nodes learn of revisions from
+// the store or from peers; a conditional write shows whether the revision was still current. A holder that shuts down
+// resigns. If the holder restarts on the same machine, it takes the lease again at once: the record still names it, and
+// if another node had held the lease in between, the record would name that node or the conditional write would fail. A
+// write without a response is resolved by reading the object back: the nonce shows whose write succeeded.
 #pragma once
 
 #include <cstdint>
@@ -25,17 +26,18 @@
   std::string holder;       // Empty after the holder resigned.
   std::string address;      // Address of the holder's machine.
   std::uint64_t nonce = 0;  // Identifies the write.
-  std::int64_t token = 0;   // The holder's fencing token; 0: the revision of this write.
+  std::int64_t token = 0;   // The holder's fencing token; 0: its first write, whose revision is the token.
   std::int64_t revision = 0;
 };
 
 struct DutyLeaseTimes {
-  Duration lease = 3s;
-  Duration window = 1s;
-  Duration margin = 400ms;
-  Duration retry = 500ms;
+  Duration lease = 3s;          // Minimum time between actions of two holders.
+  Duration window = 1s;         // For how long a holder may act after it started its last successful write.
+  Duration margin = 400ms;      // Added to the time that other nodes wait before they take over.
+  Duration retry = 500ms;       // Delay after a failed store call, and how long a call of Want() remains in effect.
   Duration rank_delay = 300ms;  // Delay between consecutive ranks when nodes compete for a free lease.
-  // Nodes of a higher rank wait no longer than this one: most nodes before them are probably down.
+  // Rank 0 tries first. Nodes of a rank above this one wait only as long as a node of this rank: most nodes before them
+  // are probably down.
   int max_takeover_rank = 10;
 };
 
@@ -43,9 +45,11 @@
 
 class DutyLease {
  public:
-  // `address` identifies this machine; empty if unknown.
-  DutyLease(std::string node, std::string address, const DutyLeaseTimes& times, std::uint64_t seed, Time started)
-      : node_(std::move(node)), address_(std::move(address)), times_(times), nonce_(seed), started_(started) {}
+  // `address` identifies this machine; empty if unknown. The nonces of this process's writes follow
+  // `initial_nonce`, which is random so that they differ from those of other processes.
+  DutyLease(std::string node, std::string address, const DutyLeaseTimes& times, std::uint64_t initial_nonce,
+            Time started)
+      : node_(std::move(node)), address_(std::move(address)), times_(times), nonce_(initial_nonce), started_(started) {}
 
   // Returns the next step towards holding the lease for `needed` from now; on kWrite, send `draft`. `rank`: the number
   // of nodes that precede this one in taking over a free lease.
@@ -61,9 +65,9 @@
   // A peer reported this revision of the lease.
   void OnPeerRecord(const LeaseRecord& record, Time now);
 
-  // Requests the lease for an upcoming action on this node.
-  void Want(Time now) { requested_until_ = now + times_.retry; }
-  bool wanted(Time now) const { return now < requested_until_; }
+  // Marks the lease as wanted for an upcoming action on this node; to be called again until it is held.
+  void Want(Time now) { wanted_until_ = now + times_.retry; }
+  bool wanted(Time now) const { return now < wanted_until_; }
   // Whether this node holds the lease now and will for `needed` longer.
   bool IsHeldFor(Time now, Duration needed = 0s) const { return holds_ && now + needed < valid_until_; }
   std::int64_t token() const { return token_; }
@@ -94,7 +98,7 @@
   Time write_sent_{};
   Time valid_until_{};
   Time next_attempt_at_{};
-  Time requested_until_{};
+  Time wanted_until_{};
   bool holds_ = false;
   bool call_in_progress_ = false;  // A store call is in progress.
   bool write_unresolved_ = false;  // A write of this node may have taken effect.
--- a/src/gateway/log_explainer.cc
+++ b/src/gateway/log_explainer.cc
@@ -54,22 +54,22 @@
   std::map<std::string, std::int64_t> last_at;
   for (const LogLine& line : lines_) {
     if (line.request != id) continue;
-    nodes.insert(line.process);
-    last_at[line.process] = line.time_ms;
+    nodes.insert(line.node);
+    last_at[line.node] = line.time_ms;
     const std::string engine = EngineOf(line);
-    if (!engine.empty()) engines.insert({line.process, engine});
+    if (!engine.empty()) engines.insert({line.node, engine});
   }
   std::map<std::string, std::size_t> last_state;  // Subject -> index of its last line before the end of the request.
   std::set<std::size_t> chosen;
   for (std::size_t i = 0; i < lines_.size(); ++i) {
     const LogLine& line = lines_[i];
     if (line.request == id) chosen.insert(i);
-    if (!IsEngineOrNodeState(line) || !nodes.contains(line.process) || line.time_ms > last_at[line.process]) continue;
+    if (!IsEngineOrNodeState(line) || !nodes.contains(line.node) || line.time_ms > last_at[line.node]) continue;
     const std::string engine = EngineOf(line);
-    if (!engine.empty() && engines.contains({line.process, engine})) {
-      last_state[line.process + " " + engine + " " + line.name] = i;
+    if (!engine.empty() && engines.contains({line.node, engine})) {
+      last_state[line.node + " " + engine + " " + line.name] = i;
     } else if (IsNodeState(line)) {
-      last_state[line.process + " " + line.name] = i;
+      last_state[line.node + " " + line.name] = i;
     }
   }
   for (const auto& [subject, index] : last_state) chosen.insert(index);
@@ -119,7 +119,7 @@
   for (const auto& [key, value] : members.items()) {
     details += fmt::format(" {}={}", key, value.is_string() ? value.get<std::string>() : value.dump());
   }
-  return fmt::format("{} {} {}:{}", line.time_ms, line.process, line.name, details);
+  return fmt::format("{} {} {}:{}", line.time_ms, line.node, line.name, details);
 }
 
 }  // namespace saltquay::gateway
