--- a/src/base/sliding_maximum.h
+++ b/src/base/sliding_maximum.h
@@ -12,7 +12,7 @@
  public:
   explicit SlidingMaximum(Duration span) : span_(span) {}
 
-  void Note(int value, Time now) {
+  void RecordValue(int value, Time now) {
     Trim(now);
     // A smaller value matters once those before it are over.
     while (!values_.empty() && values_.back().value <= value) values_.pop_back();
--- a/src/core/serving/engine_directory.cc
+++ b/src/core/serving/engine_directory.cc
@@ -27,7 +27,7 @@
   bucket_started_ = now;
 }
 
-void RecentOutcomes::Note(bool failed, Time now) {
+void RecentOutcomes::RecordOutcome(bool failed, Time now) {
   Rotate(now);
   ++(failed ? current_.failures : current_.answers);
 }
@@ -122,7 +122,7 @@
   engine->last_heard = now;
   engine->consecutive_failures = 0;
   engine->backoff = 0s;
-  engine->outcomes.Note(failed, now);
+  engine->outcomes.RecordOutcome(failed, now);
   if (!failed) RaiseProbationLimit(*engine);
   ServiceStats& stats = StatsOf(engine->record.service);
   stats.Count(*engine, -1);
@@ -156,7 +156,7 @@
   EngineState* engine = Find(id);
   if (engine == nullptr) return std::nullopt;
   ++engine->consecutive_failures;
-  engine->outcomes.Note(true, now);
+  engine->outcomes.RecordOutcome(true, now);
   const bool on_probation = engine->ejection > 0s && now < engine->ejected_until + engine->ejection;
   if (engine->consecutive_failures < policy_.failures && !on_probation) return std::nullopt;
   auto change = Eject(*engine, cause, policy_.max_unreachable_share, now);
--- a/src/core/serving/engine_directory.h
+++ b/src/core/serving/engine_directory.h
@@ -45,7 +45,7 @@
 // Outcomes of the last one to two seconds, in two buckets; the older bucket is dropped as a whole.
 class RecentOutcomes {
  public:
-  void Note(bool failed, Time now);
+  void RecordOutcome(bool failed, Time now);
   // Returns the counts; the engine's key and work in flight are not set.
   EngineWork Counts(Time now);
 
--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -61,7 +61,7 @@
                      [&](const auto& entry) { return now - entry.second.at < parameters_.report_expiry; });
 }
 
-bool FleetExchange::Note(const PeerReport& report, Time now) {
+bool FleetExchange::RecordReport(const PeerReport& report, Time now) {
   if (report.node == self_.node || report.node.empty()) return false;
   if (report.scope == ReportScope::kNode) {
     if (report.aggregate) Aggregate(report, now);
--- a/src/core/serving/fleet_exchange.h
+++ b/src/core/serving/fleet_exchange.h
@@ -78,7 +78,7 @@
   bool IsLarge(const std::vector<PeerNode>& peers) const { return peers.size() > parameters_.direct_peers; }
 
   // Handles a report that this node is asked to aggregate, or a digest. Returns whether it is a newer fleet digest.
-  bool Note(const PeerReport& report, Time now);
+  bool RecordReport(const PeerReport& report, Time now);
   // Returns the messages to send now. `own`: this node's report. Call it every interval.
   std::vector<FleetMessage> Tick(Time now, const PeerReport& own, const std::vector<PeerNode>& peers);
 
--- a/src/core/serving/peer_table.cc
+++ b/src/core/serving/peer_table.cc
@@ -34,7 +34,7 @@
   reading_depth = sum / depth_nodes;
 }
 
-bool PeerTable::Note(const PeerReport& report, Time now) {
+bool PeerTable::RecordReport(const PeerReport& report, Time now) {
   if (report.node == own_node_ || report.node.empty()) return false;
   Entry& entry = peers_[report.node];
   const bool known = entry.received_at != Time{};
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -119,7 +119,7 @@
   explicit PeerTable(std::string own_node) : own_node_(std::move(own_node)) {}
 
   // Returns whether the report is newer than the known one.
-  bool Note(const PeerReport& report, Time now);
+  bool RecordReport(const PeerReport& report, Time now);
   void Expire(Time now);
 
   // Adds the peers that a report mentions; for digests of a zone or of the fleet.
--- a/src/core/serving/retry_budget_share.h
+++ b/src/core/serving/retry_budget_share.h
@@ -50,7 +50,7 @@
 
   // `nodes`: how many nodes share the slack now. The maximum over the remembered windows is used.
   void set_nodes(int nodes, Time now) {
-    counts_.Note(std::max(1, nodes), now);
+    counts_.RecordValue(std::max(1, nodes), now);
     nodes_ = counts_.Get();
   }
 
--- a/src/gateway/fleet_coordinator.cc
+++ b/src/gateway/fleet_coordinator.cc
@@ -148,12 +148,12 @@
   MergeLeaseMark(report.lease);
   if (report.scope != serving::ReportScope::kNode) {
     peers_.RecordMentionedPeers(report, now);
-    if (fleet_.Note(report, now)) DispatchPeersChanged(report.kept);
+    if (fleet_.RecordReport(report, now)) DispatchPeersChanged(report.kept);
     return;
   }
   const int before = peers_.Count();
-  fleet_.Note(report, now);
-  if (!peers_.Note(report, now)) return;
+  fleet_.RecordReport(report, now);
+  if (!peers_.RecordReport(report, now)) return;
   if (peers_.Count() != before) {
     gateway_.Log(EventId::kMemberAlive, "",
                  fmt::format(R"("node":"{}","nodes":{})", EscapeJson(report.node), peers_.Count()));
--- a/src/limits/owned_buckets.cc
+++ b/src/limits/owned_buckets.cc
@@ -58,7 +58,7 @@
 {
     auto const share_before = reachable_share();
     reachable_ = reach;
-    largest_fleet_size_.Note(reach.nodes, now);
+    largest_fleet_size_.RecordValue(reach.nodes, now);
     if (reachable_share() == share_before)
         return;
     for (auto& [tenant, bucket] : buckets_) {
--- a/src/limits/owned_buckets.h
+++ b/src/limits/owned_buckets.h
@@ -44,7 +44,7 @@
     // Resets all buckets to those of a new owner: the process was paused and another node may have been the owner.
     void restart_probation(Time);
     // Records the largest number of nodes that another node could reach.
-    void record_fleet_size(Time now, int nodes) { largest_fleet_size_.Note(nodes, now); }
+    void record_fleet_size(Time now, int nodes) { largest_fleet_size_.RecordValue(nodes, now); }
     // Applies a changed limit; nullopt: the tenant has no limit any more.
     void change_limit(Time, std::uint64_t tenant, std::optional<TenantLimit> const&);
 
--- a/tests/core/serving/engine_selection_test.cc
+++ b/tests/core/serving/engine_selection_test.cc
@@ -105,8 +105,8 @@
 
 TEST(EngineDirectoryTest, OutcomesExpireAfterTwoSeconds) {
   RecentOutcomes outcomes;
-  outcomes.Note(true, Time{10s});
-  outcomes.Note(false, Time{10s});
+  outcomes.RecordOutcome(true, Time{10s});
+  outcomes.RecordOutcome(false, Time{10s});
   EXPECT_EQ(outcomes.Counts(Time{10900ms}).failures, 1);
   EXPECT_EQ(outcomes.Counts(Time{11500ms}).answers, 1);
   EXPECT_EQ(outcomes.Counts(Time{12600ms}).failures, 0);
@@ -331,7 +331,7 @@
     PeerReport report;
     report.node = "n" + std::to_string(i);
     report.sequence = 1;
-    peers.Note(report, Time{1s});
+    peers.RecordReport(report, Time{1s});
   }
   std::set<std::string> named;
   for (int i = 0; i < 5; ++i) {
@@ -351,13 +351,13 @@
   report.sequence = 5;
   report.work = {{"e", 3, 1000}};
   report.peers = {{"third", "1.2.3.4:5", "a", 0, false}};
-  EXPECT_TRUE(peers.Note(report, Time{1s}));
+  EXPECT_TRUE(peers.RecordReport(report, Time{1s}));
   report.sequence = 4;
-  EXPECT_FALSE(peers.Note(report, Time{1s}));
+  EXPECT_FALSE(peers.RecordReport(report, Time{1s}));
   report.boot = 2;
   report.sequence = 1;
   report.work = {{"e", 1, 10}};
-  EXPECT_TRUE(peers.Note(report, Time{2s}));
+  EXPECT_TRUE(peers.RecordReport(report, Time{2s}));
   EXPECT_EQ(peers.WorkByEngine()["e"].outstanding, 1);
   EXPECT_EQ(peers.Nodes().size(), 2U);
   EXPECT_EQ(peers.Count(), 2);
--- a/tests/core/serving/fleet_exchange_test.cc
+++ b/tests/core/serving/fleet_exchange_test.cc
@@ -61,7 +61,7 @@
   digest.nodes = 21;
   digest.sequence = 1;
   digest.work = {seen};
-  ASSERT_TRUE(node.Note(digest, Time{1100ms}));
+  ASSERT_TRUE(node.RecordReport(digest, Time{1100ms}));
   EXPECT_EQ(node.View(Time{1100ms})->work[0].failures, 0);
   EXPECT_EQ(node.View(Time{1100ms})->work[0].answers, 0);
 }
@@ -152,7 +152,7 @@
   zone.nodes = 20;
   zone.sequence = 1;
   zone.work = {{"e", 9, 900}};
-  node.Note(zone, Time{1s});
+  node.RecordReport(zone, Time{1s});
   PeerReport own;
   own.node = "a0";
   std::vector<PeerNode> peers;
@@ -171,10 +171,10 @@
   report.node = report.address = "a1";
   report.zone = "a";
   report.sequence = 1;
-  node.Note(report, Time{1s});
+  node.RecordReport(report, Time{1s});
   EXPECT_FALSE(node.aggregates(Time{1s}));
   report.aggregate = true;
-  node.Note(report, Time{1s});
+  node.RecordReport(report, Time{1s});
   EXPECT_TRUE(node.aggregates(Time{1s}));
 }
 
@@ -194,13 +194,13 @@
   digest.node = "a0";
   digest.nodes = 295;
   digest.sequence = 1;
-  EXPECT_TRUE(node.Note(digest, Time{1s}));
+  EXPECT_TRUE(node.RecordReport(digest, Time{1s}));
   PeerReport partial = digest;
   partial.node = "a1";
   partial.nodes = 3;
-  EXPECT_FALSE(node.Note(partial, Time{1100ms}));
+  EXPECT_FALSE(node.RecordReport(partial, Time{1100ms}));
   EXPECT_EQ(node.View(Time{1100ms})->nodes, 295);
-  EXPECT_TRUE(node.Note(partial, Time{2s}));  // No more complete digest arrived.
+  EXPECT_TRUE(node.RecordReport(partial, Time{2s}));  // No more complete digest arrived.
 }
 
 TEST(FleetExchangeTest, CacheUpdatesAreForwardedOnceAndThenSuppressed) {
@@ -213,7 +213,7 @@
   int forwarded = 0;
   for (Time now = fleet.now(); now < fleet.now() + 4s; now += 200ms) {
     ++report.sequence;
-    aggregator.Note(report, now);
+    aggregator.RecordReport(report, now);
     PeerReport own;
     own.node = "own";
     std::vector<PeerNode> peers;
--- a/tests/replica/relayed_store_test.cc
+++ b/tests/replica/relayed_store_test.cc
@@ -128,7 +128,7 @@
         report.link_mbps = link_mbps;
         report.sequence = ++sequence;
         report.records = { { "engines", changed_at } };
-        table.Note(report, now);
+        table.RecordReport(report, now);
         store.update_peers(table.Heard(), table.LastChanges());
     }
 
--- a/tests/replica/replica_fleet.cc
+++ b/tests/replica/replica_fleet.cc
@@ -288,7 +288,7 @@
         auto const report = from->report();
         for (auto const& to : nodes_) {
             if (to != from)
-                to->table.Note(report, now);
+                to->table.RecordReport(report, now);
         }
     }
 }
--- a/tests/support/fake_exchange_fleet.h
+++ b/tests/support/fake_exchange_fleet.h
@@ -111,7 +111,7 @@
       if (nodes_[node].address != address || !up_[node]) continue;
       if (partition_ && partition_(from, nodes_[node])) continue;
       ledger(node).Merge(report.crashes, now_);
-      at(node).Note(report, now_);
+      at(node).RecordReport(report, now_);
     }
   }
 
