--- a/src/core/serving/engine_directory.cc
+++ b/src/core/serving/engine_directory.cc
@@ -119,7 +119,7 @@
 std::optional<HealthChange> EngineDirectory::RecordResponse(const std::string& id, bool failed, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return std::nullopt;
-  engine->last_heard = now;
+  engine->last_response_time = now;
   engine->consecutive_failures = 0;
   engine->backoff = 0s;
   engine->outcomes.RecordOutcome(failed, now);
@@ -144,7 +144,7 @@
 void EngineDirectory::RecordRejection(const std::string& id, Time now) {
   EngineState* engine = Find(id);
   if (engine == nullptr) return;
-  engine->last_heard = now;
+  engine->last_response_time = now;
   engine->consecutive_failures = 0;
   if (now < engine->backed_off_until) return;  // This request was sent before the first rejection was known.
   engine->backoff =
--- a/src/core/serving/engine_directory.h
+++ b/src/core/serving/engine_directory.h
@@ -96,10 +96,10 @@
   Duration ejection = 0s;  // Duration of the last ejection.
   Duration backoff = 0s;   // Duration of the last backoff; doubles with each consecutive rejection.
   Time backed_off_until{};
-  int probation_limit = 0;  // Maximum number of this node's concurrent requests during probation; 0: no limit.
-  Time last_heard{};        // Time of the last response of any kind.
-  Time changing_until{};    // While a stage change is in progress.
-  Time held_until{};        // While a stage change is announced.
+  int probation_limit = 0;    // Maximum number of this node's concurrent requests during probation; 0: no limit.
+  Time last_response_time{};  // Time of the last response of any kind.
+  Time changing_until{};      // While a stage change is in progress.
+  Time held_until{};          // While a stage change is announced.
 
   // Whether the engine should receive no new requests now, for any reason.
   bool IsOutOfService(Time now) const {
--- a/src/core/serving/peer_table.cc
+++ b/src/core/serving/peer_table.cc
@@ -59,7 +59,7 @@
   std::erase_if(mentioned_, [&](const auto& entry) { return now - entry.second.received_at > kMentionExpiry; });
 }
 
-std::vector<PeerNode> PeerTable::Heard() const {
+std::vector<PeerNode> PeerTable::ReportingNodes() const {
   std::vector<PeerNode> nodes;
   nodes.reserve(peers_.size() + mentioned_.size());
   for (const auto& [node, entry] : peers_) {
@@ -70,7 +70,7 @@
 }
 
 std::vector<PeerNode> PeerTable::Nodes() const {
-  std::vector<PeerNode> nodes = Heard();
+  std::vector<PeerNode> nodes = ReportingNodes();
   for (const auto& [node, mentioned] : mentioned_) {
     if (!peers_.contains(node)) nodes.push_back(mentioned.node);
   }
@@ -94,7 +94,7 @@
   return nodes;
 }
 
-int PeerTable::CountHeard(Time now, Duration age) const {
+int PeerTable::CountReportingNodes(Time now, Duration age) const {
   const auto received = std::count_if(peers_.begin(), peers_.end(),
                                       [&](const auto& entry) { return now - entry.second.received_at <= age; });
   return static_cast<int>(received) + 1;
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -128,13 +128,13 @@
   // Number of nodes that this node receives reports from, including itself.
   int Count() const { return static_cast<int>(peers_.size()) + 1; }
   // The same nodes without this one, as described by themselves.
-  std::vector<PeerNode> Heard() const;
+  std::vector<PeerNode> ReportingNodes() const;
   // Nodes that reports are received from, and nodes recently mentioned by others.
   std::vector<PeerNode> Nodes() const;
   // Nodes that sent a report or were mentioned in one within the last `age`, and are not stopping.
   std::vector<PeerNode> RecentNodes(Time now, Duration age) const;
   // Number of nodes that sent a report within the last `age`, including this one.
-  int CountHeard(Time now, Duration age) const;
+  int CountReportingNodes(Time now, Duration age) const;
   // The next `max_count` nodes or fewer, round-robin, to mention in a report.
   std::vector<PeerNode> NextPeersToMention(std::size_t max_count);
   // The newest mark of the duty lease in any peer's report.
--- a/src/core/serving/timeout_steps.cc
+++ b/src/core/serving/timeout_steps.cc
@@ -54,7 +54,7 @@
 
 bool ServingCore::EngineUnresponsiveSince(const Attempt& attempt) {
   const EngineState* engine = engines_.Find(attempt.engine_id);
-  return engine == nullptr || engine->last_heard < attempt.sent_at;
+  return engine == nullptr || engine->last_response_time < attempt.sent_at;
 }
 
 void ServingCore::DropIdleConnectionsTo(const Attempt& attempt) {
--- a/src/gateway/fleet_coordinator.cc
+++ b/src/gateway/fleet_coordinator.cc
@@ -132,7 +132,7 @@
 
 std::vector<serving::PeerNode> FleetCoordinator::Members() const {
   std::vector<serving::PeerNode> nodes = peers_.Nodes();
-  return fleet_.IsLarge(nodes) ? nodes : peers_.Heard();
+  return fleet_.IsLarge(nodes) ? nodes : peers_.ReportingNodes();
 }
 
 void FleetCoordinator::OnReport(const serving::PeerReport& report) {
@@ -216,7 +216,7 @@
   if (large) {
     changed.reach = {fleet_.Reach(now, kDigestTimeout), kDigestTimeout};
   } else {
-    changed.reach = {peers_.CountHeard(now, kReportTimeout), kReportTimeout};
+    changed.reach = {peers_.CountReportingNodes(now, kReportTimeout), kReportTimeout};
   }
   gateway_.Dispatch(changed);
 }
--- a/tests/replica/relayed_store_test.cc
+++ b/tests/replica/relayed_store_test.cc
@@ -129,7 +129,7 @@
         report.sequence = ++sequence;
         report.records = { { "engines", changed_at } };
         table.RecordReport(report, now);
-        store.update_peers(table.Heard(), table.LastChanges());
+        store.update_peers(table.ReportingNodes(), table.LastChanges());
     }
 
     TableStore origin;
@@ -386,7 +386,7 @@
     options.max_hops = 0;
     TableStore origin(loop_);
     RelayedStore near(loop_, origin, options);
-    near.update_peers(last_->table.Heard(), last_->table.LastChanges());
+    near.update_peers(last_->table.ReportingNodes(), last_->table.LastChanges());
     std::optional<bool> accepted;
     near.Watch("engines", 0, std::chrono::milliseconds(50), [&](auto const& events) { accepted = events.ok(); });
     EXPECT_TRUE(run_until([&] { return accepted.has_value(); }, 2s));
--- a/tests/replica/replica_fleet.cc
+++ b/tests/replica/replica_fleet.cc
@@ -275,7 +275,7 @@
     for (auto const& node : nodes_) {
         if (node->origin.fault() != NodeStore::Fault::None)
             node->exempt_until = now + reconnect_period;
-        node->store.update_peers(node->table.Heard(), node->table.LastChanges());
+        node->store.update_peers(node->table.ReportingNodes(), node->table.LastChanges());
     }
     check(now);
 }
--- a/tests/support/serving_fleet.cc
+++ b/tests/support/serving_fleet.cc
@@ -280,7 +280,7 @@
   PeersChanged changed;
   ServiceDemand demand;
   for (int from = 0; from < static_cast<int>(nodes_.size()); ++from) {
-    if (!Hears(node, from)) continue;
+    if (!ReceivesFrom(node, from)) continue;
     ++changed.nodes;
     for (const ServiceDemand& reported : nodes_[from]->LocalDemand(now_)) {
       demand.service = reported.service;
@@ -298,7 +298,7 @@
 void ServingFleet::ReportCrashes(int from) {
   const std::vector<CrashMark> marks = nodes_[from]->crashes().MarksToReport(now_);
   for (int to = 0; to < static_cast<int>(nodes_.size()); ++to) {
-    if (!Hears(to, from) || marks.empty() || random_.Unit() < loss_) continue;
+    if (!ReceivesFrom(to, from) || marks.empty() || random_.Unit() < loss_) continue;
     At(now_ + kLinkDelay, [this, to, marks] { Send(to, PeerCrashesReported{marks}); });
   }
 }
--- a/tests/support/serving_fleet.h
+++ b/tests/support/serving_fleet.h
@@ -119,7 +119,7 @@
   void CountArrival(const Call& call, bool taken);
   void Report();
   void ReportTo(int node);
-  bool Hears(int to, int from) const { return to != from && (sides_.empty() || sides_[to] == sides_[from]); }
+  bool ReceivesFrom(int to, int from) const { return to != from && (sides_.empty() || sides_[to] == sides_[from]); }
   EngineLoad LoadOf(const SimulatedEngine& simulated) const;
   void FinishRequest(int node, FlowId flow, int* count);
 
