--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -142,7 +142,7 @@
 std::vector<PeerNode> FleetExchange::ChooseAggregators(Time now, const std::vector<PeerNode>& peers) {
   for (const auto& [node, contact] : contacts_) {
     const Time last = std::max(contact.since, contact.digest);
-    if (now - last > parameters_.silence) excluded_until_[node] = now + parameters_.exclusion_time;
+    if (now - last > parameters_.aggregator_timeout) excluded_until_[node] = now + parameters_.exclusion_time;
   }
   std::vector<PeerNode> chosen;
   for (const RankedNode& ranked : RankZone(self_, peers, self_.zone)) {
@@ -217,7 +217,7 @@
   }
   const bool tries_more = addresses.empty() && topology_.HasMultipleRegions();
   const auto wanted =
-      tries_more ? parameters_.silent_zone_candidates : static_cast<std::size_t>(parameters_.aggregators);
+      tries_more ? parameters_.unresponsive_zone_candidates : static_cast<std::size_t>(parameters_.aggregators);
   for (const RankedNode& ranked : RankZone(self_, peers, zone)) {
     if (addresses.size() >= wanted) break;
     if (!zone_senders_.contains(ranked.node->node)) addresses.push_back(ranked.node->address);
@@ -295,7 +295,7 @@
     return topology_.RegionOf(candidate.node->zone) != region || region_senders_.contains(candidate.node->node);
   });
   const std::size_t wanted =
-      addresses.empty() ? parameters_.silent_zone_candidates : parameters_.region_representatives;
+      addresses.empty() ? parameters_.unresponsive_zone_candidates : parameters_.region_representatives;
   for (const RankedNode& candidate : PickAcrossZones(ranked, wanted)) {
     if (addresses.size() >= wanted) break;
     addresses.push_back(candidate.node->address);
--- a/src/core/serving/fleet_exchange.h
+++ b/src/core/serving/fleet_exchange.h
@@ -38,9 +38,9 @@
   Duration interval = 100ms;
   int aggregators = 2;  // Number of aggregators that a node reports to.
   // An aggregator that has sent no digest for this long is excluded; up to ten of its digests may be lost.
-  Duration silence = 1200ms;
+  Duration aggregator_timeout = 1200ms;
   Duration exclusion_time = 5s;
-  // Reports and digests expire after this time: as many intervals as `silence`.
+  // Reports and digests expire after this time: as many intervals as `aggregator_timeout`.
   Duration report_expiry = 1200ms;
   // Cache updates are forwarded for this long after they were first received, then suppressed for a while.
   Duration cache_update_forward_time = 300ms;
@@ -53,7 +53,7 @@
   Duration region_report_expiry = 2s;      // Expiry of region digests: five digests of one representative.
   // If no digest of a zone or region is being received, this many of its nodes are tried round-robin. The first in the
   // ranking may all be down on both sides, and the nodes that replace them as aggregators do not know of each other.
-  std::size_t silent_zone_candidates = 8;
+  std::size_t unresponsive_zone_candidates = 8;
   // Nodes mentioned in a region digest. These are sent less often, and every node must be mentioned within PeerTable's
   // expiry time.
   std::size_t mentioned_across_regions = 48;
