--- a/bench/serving_bench.cc
+++ b/bench/serving_bench.cc
@@ -41,8 +41,8 @@
     prompt.parts = {{fmt::format("shared-{}", flow_ * 7919 % kSharedParts), 6300}, {"own", 2890}};
     arrived.metadata.prompt = prompt;
     Send(arrived);
-    Answer(Started(), "handle");
-    Answer(Started(), "");
+    Respond(Started(), "handle");
+    Respond(Started(), "");
   }
 
  private:
@@ -91,7 +91,7 @@
     }
     return {};
   }
-  void Answer(const StartAttempt& start, const std::string& handle) {
+  void Respond(const StartAttempt& start, const std::string& handle) {
     constexpr int kOk = 200;
     Send(AttemptHeadReceived{start.flow, start.attempt, EngineResponseHead{kOk, false, true, std::nullopt}});
     Send(AttemptCompleted{start.flow, start.attempt, handle});
--- a/src/core/serving/flow_steps.cc
+++ b/src/core/serving/flow_steps.cc
@@ -102,7 +102,7 @@
   start.priority = flow.route.priority;
   start.tenant = flow.tenant;
   start.streams = flow.route.kind == RouteKind::kStreaming;
-  start.on_new_connection = flow.unanswered;
+  start.on_new_connection = flow.response_missing;
   LogRouted(flow, engine, start, attempt.prompt_tokens);
   attempt.times_out_at = now_ + AttemptTimeout(attempt, engine);
   MeterDispatch(flow, attempt);
@@ -281,7 +281,7 @@
 
 void ServingCore::OnAttemptLost(Flow& flow, const Attempt& attempt, AttemptFailure failure) {
   flow.tried_engines.insert(attempt.engine_id);
-  flow.unanswered = true;
+  flow.response_missing = true;
   const bool arrived = failure != AttemptFailure::kNotSent;
   if (!arrived) {
     if (attempt.kv_cache) flow.kv_cache = attempt.kv_cache;
--- a/src/core/serving/role_controller.cc
+++ b/src/core/serving/role_controller.cc
@@ -198,9 +198,9 @@
   const EngineState* best = nullptr;
   const auto work = [](const EngineState& engine) { return engine.outstanding + engine.peers_outstanding; };
   engines.ForEachServing(pool.service, [&](EngineState& engine) {
-    const auto unanswered = unanswered_until_.find(engine.record.id);
-    const bool is_unanswered = unanswered != unanswered_until_.end() && now < unanswered->second;
-    if (!fits(engine) || now < engine.ejected_until || is_unanswered) return;
+    const auto unknown_order = unknown_order_until_.find(engine.record.id);
+    const bool has_unknown_order = unknown_order != unknown_order_until_.end() && now < unknown_order->second;
+    if (!fits(engine) || now < engine.ejected_until || has_unknown_order) return;
     if (best == nullptr) {
       best = &engine;
       return;
@@ -250,7 +250,7 @@
                                                StageName(change->stage), lease_.token(), report->sequence)});
 }
 
-void RoleController::OnOrderAnswered(Time now, const std::string& engine_id, OrderOutcome outcome,
+void RoleController::OnOrderResponse(Time now, const std::string& engine_id, OrderOutcome outcome,
                                      EngineDirectory& engines, std::vector<RoleAction>& actions) {
   const Change* change = FindChange(engine_id, Phase::kOrdering);
   if (change == nullptr) return;
@@ -264,7 +264,7 @@
   } else {
     cooldown_until_[change->pool] = now + parameters_.idle_cooldown;
   }
-  if (outcome == OrderOutcome::kUnknown) unanswered_until_[engine_id] = now + parameters_.unanswered_order_timeout;
+  if (outcome == OrderOutcome::kUnknown) unknown_order_until_[engine_id] = now + parameters_.unknown_order_timeout;
   if (outcome == OrderOutcome::kFenced) lease_.OnFenced();
   actions.push_back(LogRole{EventId::kOrderAnswered,
                             fmt::format(R"("engine":"{}","outcome":{})", engine_id, static_cast<int>(outcome))});
--- a/src/core/serving/role_controller.h
+++ b/src/core/serving/role_controller.h
@@ -5,7 +5,7 @@
 // sends one order with the engine's identity, its sequence and the fencing token. If the fleet spans several regions,
 // each is planned separately, so that prompts are decoded in the region of their prefill. Several engines of a large
 // service may change at once. An order without a response may still be carried out seconds later, so the engine
-// receives no other order until `unanswered_order_timeout` has passed.
+// receives no other order until `unknown_order_timeout` has passed.
 #pragma once
 
 #include <compare>
@@ -39,7 +39,7 @@
   Duration min_hold = 60ms;
   Duration max_hold = 900ms;
   Duration order_time = 300ms;  // Time to read an engine's state and to order its change.
-  Duration unanswered_order_timeout = 14s;
+  Duration unknown_order_timeout = 14s;
   // Minimum number of engines in every region for planning regions separately. With fewer, a region can hardly keep
   // both stages.
   int min_engines_per_region = 4;
@@ -87,7 +87,7 @@
               std::vector<RoleAction>& actions);
   void OnEngineStateRead(Time now, const std::string& engine_id, const std::optional<EngineStateReport>& report,
                          EngineDirectory& engines, std::vector<RoleAction>& actions);
-  void OnOrderAnswered(Time now, const std::string& engine_id, OrderOutcome outcome, EngineDirectory& engines,
+  void OnOrderResponse(Time now, const std::string& engine_id, OrderOutcome outcome, EngineDirectory& engines,
                        std::vector<RoleAction>& actions);
 
   // Engines that receive no new requests: held for an order, or changing stage.
@@ -164,7 +164,8 @@
   // Orders to a service's stage during which engines crashed. An order that crashes engines must not be given to one
   // engine after the other.
   CrashLedger order_crashes_;
-  std::map<std::string, Time> unanswered_until_;  // By engine: when an unanswered order can no longer take effect.
+  std::map<std::string, Time>
+      unknown_order_until_;  // By engine: when an unknown_order order can no longer take effect.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -233,7 +233,7 @@
   actions_->push_back(ExecutionStarted{flow.tenant, flow.language ? now_ : attempt.sent_at});
 }
 
-void ServingCore::CountUnansweredUsage(Flow& flow) {
+void ServingCore::CountUsageWithoutResponse(Flow& flow) {
   if (flow.language) return;
   for (const auto& [id, attempt] : flow.attempts) CountTenantUsage(flow, attempt);
 }
@@ -241,7 +241,7 @@
 void ServingCore::On(const ClientDisconnected& event) {
   Flow* flow = FindFlow(event.flow);
   if (flow == nullptr) return;
-  CountUnansweredUsage(*flow);
+  CountUsageWithoutResponse(*flow);
   Log(EventId::kClientLeft, flow, fmt::format(R"("attempts":{})", flow->attempts.size()));
   const bool keeps_running = flow->route.kind == RouteKind::kAtMostOnce;
   if (keeps_running) {
--- a/src/core/serving/serving_core.h
+++ b/src/core/serving/serving_core.h
@@ -66,10 +66,10 @@
   std::vector<std::string> kv_cache_refused_by;  // Engines that refused the KV handoff, for whatever reason.
   int arrivals = 0;                              // Attempts sent, not counting prefills.
   int prefills = 0;
-  int executions = 0;       // Attempts that may have been executed.
-  int attempt_count = 0;    // All attempts.
-  bool unanswered = false;  // An attempt got no response; its connection may have been dead.
-  bool relaying = false;    // The response head of a stream has been sent to the client.
+  int executions = 0;             // Attempts that may have been executed.
+  int attempt_count = 0;          // All attempts.
+  bool response_missing = false;  // An attempt got no response; its connection may have been dead.
+  bool relaying = false;          // The response head of a stream has been sent to the client.
   std::string last_event_id;
   std::optional<Time> engine_wait_ends;  // How long to wait until any engine becomes available.
   std::optional<Time> hedge_at;
@@ -268,7 +268,7 @@
   // The attempt was or may have been executed: counts the request as usage of its tenant, once.
   void CountTenantUsage(Flow& flow, const Attempt& attempt);
   // The flow ends with attempts in flight. Counts them if its engines start executing on receipt.
-  void CountUnansweredUsage(Flow& flow);
+  void CountUsageWithoutResponse(Flow& flow);
   void MeterDispatch(Flow& flow, const Attempt& attempt);
   void MeterDecodeDemand(const Flow& flow, const Attempt& attempt);
 
--- a/src/core/serving/timeout_steps.cc
+++ b/src/core/serving/timeout_steps.cc
@@ -17,7 +17,7 @@
   const bool unresponsive = flow.attempts.size() == 1 && !flow.attempts.begin()->second.head_seen;
   if (!unresponsive || !MayExecuteAgain(flow)) return;
   flow.tried_engines.insert(flow.attempts.begin()->second.engine_id);
-  flow.unanswered = true;
+  flow.response_missing = true;
   Retry(flow, "no response within the hedge delay");
 }
 
@@ -45,7 +45,7 @@
     }
     if (!ShouldAbandon(flow, attempt, unresponsive)) continue;
     flow.tried_engines.insert(attempt.engine_id);
-    flow.unanswered = true;
+    flow.response_missing = true;
     actions_->push_back(CancelAttempt{id});
     EndAttempt(flow, id);
     return Retry(flow, "engine response timed out");  // The attempts have changed.
@@ -78,7 +78,7 @@
     return AbortFlow(flow, "deadline exceeded");
   }
   const bool may_have_run = flow.executions > 0;
-  CountUnansweredUsage(flow);
+  CountUsageWithoutResponse(flow);
   for (const auto& [id, attempt] : flow.attempts) {
     if (EngineUnresponsiveSince(attempt)) DropIdleConnectionsTo(attempt);
   }
--- a/src/gateway/fleet_coordinator_roles.cc
+++ b/src/gateway/fleet_coordinator_roles.cc
@@ -44,7 +44,7 @@
              protocol_.MakeOrderBody(action, settings_.node_name),
              [this, id = action.engine_id](const absl::StatusOr<fetch::Reply>& reply) {
                std::vector<serving::RoleAction> actions;
-               roles_.OnOrderAnswered(gateway_.Now(), id, ToOutcome(reply), gateway_.core().engines(), actions);
+               roles_.OnOrderResponse(gateway_.Now(), id, ToOutcome(reply), gateway_.core().engines(), actions);
                Perform(actions);
              });
 }
--- a/tests/core/serving/client_disconnect_test.cc
+++ b/tests/core/serving/client_disconnect_test.cc
@@ -20,7 +20,7 @@
 
 TEST_F(ClientDisconnectTest, HandoffIsCancelled) {
   const FlowId flow = Arrive("chat", LongPrompt());
-  Answer(One<StartAttempt>(), 200, false, "handle");
+  Respond(One<StartAttempt>(), 200, false, "handle");
   DisconnectAndExpectCancelled(flow, {One<StartAttempt>().attempt});
 }
 
@@ -50,7 +50,7 @@
 
 TEST_F(ClientDisconnectTest, RetryAfterARefusalIsCancelled) {
   const FlowId flow = Arrive("safe");
-  Answer(One<StartAttempt>(), 503, true);
+  Respond(One<StartAttempt>(), 503, true);
   DisconnectAndExpectCancelled(flow, {One<StartAttempt>().attempt});
 }
 
--- a/tests/core/serving/crash_ledger_test.cc
+++ b/tests/core/serving/crash_ledger_test.cc
@@ -207,7 +207,7 @@
   const auto second = One<StartAttempt>();
   Send(EngineProbed{first.engine_id, EngineProbeOutcome::kRefused});
   EXPECT_EQ(core_.crashes().CrashCount(Fingerprint(kRequest)), 1);
-  Answer(second, 200);
+  Respond(second, 200);
   EXPECT_EQ(core_.crashes().CrashCount(Fingerprint(kRequest)), 0);
 }
 
--- a/tests/core/serving/engine_crash_test.cc
+++ b/tests/core/serving/engine_crash_test.cc
@@ -56,7 +56,7 @@
   Send(EngineProbed{broken.engine_id, EngineProbeOutcome::kRefused});
   EXPECT_FALSE(CrashIsLogged());
   now_ += 100ms;
-  Answer(other, 200);
+  Respond(other, 200);
   EXPECT_FALSE(CrashIsLogged());
 }
 
--- a/tests/core/serving/flow_test.cc
+++ b/tests/core/serving/flow_test.cc
@@ -15,7 +15,7 @@
   Arrive("safe");
   const auto start = One<StartAttempt>();
   EXPECT_EQ(start.mode, AttemptMode::kWhole);
-  Answer(start, 200);
+  Respond(start, 200);
   EXPECT_EQ(One<RelayResponse>().attempt, start.attempt);
   EXPECT_EQ(core_.flows(), 0U);
 }
@@ -64,7 +64,7 @@
   Fail(first, AttemptFailure::kNotSent);
   const auto second = One<StartAttempt>();
   EXPECT_NE(second.engine_id, first.engine_id);
-  Answer(second, 503, true);
+  Respond(second, 503, true);
   EXPECT_TRUE(All<StartAttempt>().empty());  // Both engines have been tried, so it waits.
   Pass(500ms);
   EXPECT_EQ(One<SendLocalReply>().status, 503);
@@ -73,13 +73,13 @@
 
 TEST_F(FlowTest, EngineErrorIsRelayedForAtMostOnce) {
   Arrive("once");
-  Answer(One<StartAttempt>(), 500);
+  Respond(One<StartAttempt>(), 500);
   EXPECT_EQ(All<RelayResponse>().size(), 1U);
 }
 
 TEST_F(FlowTest, RefusalWithoutNotExecutedIsReportedAsBadGateway) {
   Arrive("once");
-  Answer(One<StartAttempt>(), 503);
+  Respond(One<StartAttempt>(), 503);
   EXPECT_EQ(One<SendLocalReply>().status, 502);
 }
 
@@ -126,7 +126,7 @@
   const auto prefill = One<StartAttempt>();
   EXPECT_EQ(prefill.mode, AttemptMode::kPrefill);
   EXPECT_EQ(prefill.engine_id[0], 'p');
-  Answer(prefill, 200, false, "handle");
+  Respond(prefill, 200, false, "handle");
   const auto decode = One<StartAttempt>();
   EXPECT_EQ(decode.mode, AttemptMode::kContinue);
   EXPECT_EQ(decode.engine_id[0], 'd');
@@ -141,7 +141,7 @@
 TEST_F(FlowTest, RefusedPrefillIsRetriedAtAnotherEngine) {
   Arrive("lone", LongPrompt());
   const auto first = One<StartAttempt>();
-  Answer(first, 500, true);
+  Respond(first, 500, true);
   const auto second = One<StartAttempt>();
   EXPECT_EQ(second.mode, AttemptMode::kPrefill);
   EXPECT_NE(second.engine_id, first.engine_id);
@@ -151,9 +151,9 @@
 // again each time.
 TEST_F(FlowTest, MisdirectedHandoffKeepsTheKvCacheAndEjectsTheEngine) {
   Arrive("lone", LongPrompt());
-  Answer(One<StartAttempt>(), 200, false, "handle");
+  Respond(One<StartAttempt>(), 200, false, "handle");
   const auto first = One<StartAttempt>();
-  Answer(first, 421, true);
+  Respond(first, 421, true);
   const auto second = One<StartAttempt>();
   EXPECT_EQ(second.mode, AttemptMode::kContinue);
   EXPECT_EQ(second.kv_cache_source->handle, "handle");
@@ -165,10 +165,10 @@
 // each time after another prefill. That caused 4,764 extra arrivals in 10 s where the retry budget allowed 4,203.
 TEST_F(FlowTest, RefusedHandoffIsRetriedElsewhereBeforeAnotherPrefill) {
   Arrive("chat", LongPrompt());
-  Answer(One<StartAttempt>(), 200, false, "handle");
+  Respond(One<StartAttempt>(), 200, false, "handle");
   const auto first = One<StartAttempt>();
   ASSERT_EQ(first.mode, AttemptMode::kContinue);
-  Answer(first, 503, true);
+  Respond(first, 503, true);
   const auto second = One<StartAttempt>();
   EXPECT_EQ(second.mode, AttemptMode::kContinue);
   ASSERT_TRUE(second.kv_cache_source);
@@ -177,14 +177,14 @@
   EXPECT_TRUE(core_.engines().Find(first.engine_id)->IsOutOfService(now_));  // Backed off.
   EXPECT_FALSE(core_.engines().Find(first.engine_id)->IsOutOfService(now_ + 50ms));
   // Two engines refused it: the KV cache is presumed lost.
-  Answer(second, 503, true);
+  Respond(second, 503, true);
   EXPECT_EQ(One<ReleaseKvCache>().kv_cache_source.handle, "handle");
   EXPECT_EQ(One<StartAttempt>().mode, AttemptMode::kPrefill);
 }
 
 TEST_F(FlowTest, StreamResumesElsewhereAfterItsLastCompleteEvent) {
   Arrive("chat", LongPrompt());
-  Answer(One<StartAttempt>(), 200, false, "handle");
+  Respond(One<StartAttempt>(), 200, false, "handle");
   const auto decode = One<StartAttempt>();
   Head(decode, 200);
   Send(AttemptEventsReceived{decode.flow, decode.attempt, "3"});
@@ -196,7 +196,7 @@
 
 TEST_F(FlowTest, StreamThatMayNotBeResumedIsAborted) {
   Arrive("lone", LongPrompt());
-  Answer(One<StartAttempt>(), 200, false, "handle");
+  Respond(One<StartAttempt>(), 200, false, "handle");
   const auto decode = One<StartAttempt>();
   Head(decode, 200);
   Fail(decode, AttemptFailure::kBroken);
@@ -214,7 +214,7 @@
 
 TEST_F(FlowTest, FailedConnectionKeepsTheKvCacheForTheNextEngine) {
   Arrive("lone", LongPrompt());
-  Answer(One<StartAttempt>(), 200, false, "handle");
+  Respond(One<StartAttempt>(), 200, false, "handle");
   Fail(One<StartAttempt>(), AttemptFailure::kNotSent);
   EXPECT_EQ(One<StartAttempt>().kv_cache_source->handle, "handle");
 }
@@ -255,7 +255,7 @@
   Arrive("chat", LongPrompt());
   const auto first = One<StartAttempt>();
   EXPECT_EQ(first.mode, AttemptMode::kWhole);
-  Answer(first, 200);
+  Respond(first, 200);
   Send(AttemptCompleted{first.flow, first.attempt, ""});
   Arrive("chat", LongPrompt());
   EXPECT_EQ(One<StartAttempt>().engine_id, first.engine_id);
@@ -336,11 +336,11 @@
       possible_executions.insert(std::to_string(start.attempt));
     RC_ASSERT(static_cast<int>(possible_executions.size()) <= allowed);
     if (outcome == 0) Fail(start, AttemptFailure::kBroken);
-    if (outcome == 1) Answer(start, 500);
+    if (outcome == 1) Respond(start, 500);
     if (outcome == 2) Fail(start, AttemptFailure::kNotSent);
-    if (outcome == 3) Answer(start, 503, true);
-    if (outcome == 4) Answer(start, 421, true);
-    if (outcome == 5) Answer(start, 200, false, "h");
+    if (outcome == 3) Respond(start, 503, true);
+    if (outcome == 4) Respond(start, 421, true);
+    if (outcome == 5) Respond(start, 200, false, "h");
     collect_actions();
     RC_ASSERT(final_responses <= 1);
   }
--- a/tests/core/serving/idle_connections_test.cc
+++ b/tests/core/serving/idle_connections_test.cc
@@ -27,7 +27,7 @@
 
 TEST_F(IdleConnectionsTest, RetryAfterARefusalMayUseAnIdleConnection) {
   Arrive("safe");
-  Answer(One<StartAttempt>(), 503, true);
+  Respond(One<StartAttempt>(), 503, true);
   EXPECT_FALSE(One<StartAttempt>().on_new_connection);
 }
 
@@ -41,7 +41,7 @@
     if (start.engine_id == first.engine_id) second = start;
   }
   Pass(1s);
-  Answer(*second, 200);
+  Respond(*second, 200);
   Pass(4s);
   for (const DropIdleConnections& dropped : All<DropIdleConnections>()) {
     EXPECT_NE(dropped.engine_id, first.engine_id);
--- a/tests/core/serving/overload_test.cc
+++ b/tests/core/serving/overload_test.cc
@@ -106,7 +106,7 @@
   surge.prompt = Prompt;
   surge.Run();
   EXPECT_TRUE(fleet.ejected().empty());
-  EXPECT_GT(fleet.answered_within_objective(), 480);  // Of 533 in the last two seconds.
+  EXPECT_GT(fleet.completed_within_objective(), 480);  // Of 533 in the last two seconds.
 }
 
 TEST_F(OverloadTest, FailingEnginesAndNoOthersAreEjectedDuringASurge) {
--- a/tests/core/serving/poison_request_test.cc
+++ b/tests/core/serving/poison_request_test.cc
@@ -121,7 +121,7 @@
     fleet.ResetCounts();
     fleet.RunUntil(fleet.now() + 14s);
     EXPECT_EQ(fleet.failed(), 0) << "seed " << seed;
-    EXPECT_GE(fleet.answered(), 470) << "seed " << seed;  // 40 per second from 8 s to 20 s.
+    EXPECT_GE(fleet.completed(), 470) << "seed " << seed;  // 40 per second from 8 s to 20 s.
   }
 }
 
--- a/tests/core/serving/region_role_controller_test.cc
+++ b/tests/core/serving/region_role_controller_test.cc
@@ -60,7 +60,7 @@
     }
     if (const auto* order = std::get_if<SendStageOrder>(&action)) {
       EngineRecord record = engines_.Find(order->engine_id)->record;
-      controller_.OnOrderAnswered(now_, order->engine_id, OrderOutcome::kAccepted, engines_, actions);
+      controller_.OnOrderResponse(now_, order->engine_id, OrderOutcome::kAccepted, engines_, actions);
       record.stage = order->stage;
       ++record.order_sequence;
       engines_.Update(record);
--- a/tests/core/serving/role_controller_test.cc
+++ b/tests/core/serving/role_controller_test.cc
@@ -147,7 +147,7 @@
   std::vector<RoleAction> actions;
   controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
                                 actions);
-  controller_.OnOrderAnswered(now_, read->engine_id, OrderOutcome::kAccepted, engines_, actions);
+  controller_.OnOrderResponse(now_, read->engine_id, OrderOutcome::kAccepted, engines_, actions);
   EXPECT_GT(HoldLeft(read->engine_id), 2300ms);
   Add(read->engine_id, EngineStage::kPrefill);
   controller_.OnTick(now_, false, config_, demand_, engines_, actions);
@@ -198,7 +198,7 @@
   std::vector<RoleAction> actions;
   controller_.OnEngineStateRead(now_, first->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
                                 actions);
-  controller_.OnOrderAnswered(now_, first->engine_id, OrderOutcome::kAccepted, engines_, actions);
+  controller_.OnOrderResponse(now_, first->engine_id, OrderOutcome::kAccepted, engines_, actions);
   for (int i = 6; i < 20; ++i) Add("d" + std::to_string(i), EngineStage::kDecode);
   EXPECT_TRUE(TickUntil<ReadEngineState>(2s));
 }
@@ -218,7 +218,7 @@
   std::vector<RoleAction> actions;
   controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{EngineStage::kDecode, false, 0}, engines_,
                                 actions);
-  controller_.OnOrderAnswered(now_, read->engine_id, OrderOutcome::kUnknown, engines_, actions);
+  controller_.OnOrderResponse(now_, read->engine_id, OrderOutcome::kUnknown, engines_, actions);
   engines_.Find(read->engine_id)->changing_until = Time{};
   const auto next = TickUntil<ReadEngineState>(12s);
   EXPECT_TRUE(!next || next->engine_id != read->engine_id);
@@ -250,7 +250,7 @@
     std::vector<RoleAction> actions;
     const EngineStage stage = engines_.Find(read->engine_id)->record.stage;
     controller_.OnEngineStateRead(now_, read->engine_id, EngineStateReport{stage, false, 6}, engines_, actions);
-    controller_.OnOrderAnswered(now_, read->engine_id, OrderOutcome::kAccepted, engines_, actions);
+    controller_.OnOrderResponse(now_, read->engine_id, OrderOutcome::kAccepted, engines_, actions);
     engines_.Remove(read->engine_id);
     Add(read->engine_id + "+", stage);
     ++crashed;
--- a/tests/core/serving/tenancy_test.cc
+++ b/tests/core/serving/tenancy_test.cc
@@ -66,11 +66,11 @@
   const auto prefill = One<StartAttempt>();
   EXPECT_EQ(prefill.mode, AttemptMode::kPrefill);
   EXPECT_EQ(prefill.tenant, "t1");
-  Answer(prefill, 200, false, "handle");
+  Respond(prefill, 200, false, "handle");
   const auto decode = One<StartAttempt>();
   EXPECT_EQ(decode.mode, AttemptMode::kContinue);
   EXPECT_EQ(decode.tenant, "t1");
-  Answer(decode, 503, true);
+  Respond(decode, 503, true);
   EXPECT_EQ(One<StartAttempt>().tenant, "t1");
 }
 
@@ -141,17 +141,17 @@
 TEST_F(TenancyTest, UsageCountsEachExecutedRequestOnce) {
   ArriveWithKey("once", "key-a");
   const auto start = One<StartAttempt>();
-  Answer(start, 200);
+  Respond(start, 200);
   EXPECT_EQ(One<ExecutionStarted>().tenant, "t1");
   ArriveWithKey("once", "key-c");
-  Answer(One<StartAttempt>(), 503, true);
+  Respond(One<StartAttempt>(), 503, true);
   EXPECT_TRUE(All<ExecutionStarted>().empty());  // Refused, so not executed.
   ArriveWithKey("safe", "key-c");
   const auto first = One<StartAttempt>();
   Head(first, 500);
   EXPECT_EQ(All<ExecutionStarted>().size(), 1U);
   Send(AttemptCompleted{first.flow, first.attempt, ""});
-  Answer(One<StartAttempt>(), 200);
+  Respond(One<StartAttempt>(), 200);
   EXPECT_TRUE(All<ExecutionStarted>().empty());  // Executed twice, but one request.
 }
 
@@ -178,7 +178,7 @@
     ArriveWithKey("safe", key);
     log += Log();
     if (!All<StartAttempt>().empty()) {
-      Answer(One<StartAttempt>(), 200);
+      Respond(One<StartAttempt>(), 200);
       log += Log();
     }
   }
--- a/tests/core/serving/tenant_limit_test.cc
+++ b/tests/core/serving/tenant_limit_test.cc
@@ -177,7 +177,7 @@
 
 TEST_F(TenantLimitTest, ExecutedRequestStaysCharged) {
   const FlowId flow = ArriveWithKey("safe", "key-a");
-  Answer(One<StartAttempt>(), 200);
+  Respond(One<StartAttempt>(), 200);
   EXPECT_EQ(limiter_->settled_, std::vector<std::uint64_t>{flow});
   EXPECT_TRUE(limiter_->refunded_.empty());
 }
@@ -191,9 +191,9 @@
       Pass(50ms);
     } else if (starts.front().mode == AttemptMode::kPrefill) {
       ++prefills;
-      Answer(starts.front(), 200, false, "handle");
+      Respond(starts.front(), 200, false, "handle");
     } else {
-      Answer(starts.front(), 503, true);
+      Respond(starts.front(), 503, true);
     }
   }
   Pass(5s);
@@ -213,7 +213,7 @@
 
 TEST_F(TenantLimitTest, PromptStaysChargedOnceDecodeWasRequested) {
   const FlowId flow = ArriveWithKey("chat", "key-a", LongPrompt());
-  Answer(One<StartAttempt>(), 200, false, "handle");
+  Respond(One<StartAttempt>(), 200, false, "handle");
   ASSERT_EQ(One<StartAttempt>().mode, AttemptMode::kContinue);
   Send(ClientDisconnected{flow});
   EXPECT_EQ(limiter_->settled_, std::vector<std::uint64_t>{flow});
@@ -227,7 +227,7 @@
     if (starts.empty()) {
       Pass(50ms);
     } else {
-      Answer(starts.front(), 503, true);
+      Respond(starts.front(), 503, true);
     }
   }
   Pass(5s);
@@ -238,7 +238,7 @@
 TEST_F(TenantLimitTest, RetriedRequestIsChargedOnce) {
   ArriveWithKey("safe", "key-a");
   Fail(One<StartAttempt>(), AttemptFailure::kNotSent);
-  Answer(One<StartAttempt>(), 200);
+  Respond(One<StartAttempt>(), 200);
   EXPECT_EQ(limiter_->requested_costs_.size(), 1U);
   EXPECT_EQ(limiter_->settled_.size(), 1U);
 }
--- a/tests/support/serving_fixture.h
+++ b/tests/support/serving_fixture.h
@@ -114,7 +114,7 @@
                              EngineResponseHead{status, not_executed, !not_executed, std::nullopt}});
   }
   // Sends the complete response to an attempt.
-  void Answer(const StartAttempt& start, int status, bool not_executed = false, const std::string& handle = "") {
+  void Respond(const StartAttempt& start, int status, bool not_executed = false, const std::string& handle = "") {
     Head(start, status, not_executed);
     std::vector<Action> first = actions_;
     Send(AttemptCompleted{start.flow, start.attempt, handle});
--- a/tests/support/serving_fleet.cc
+++ b/tests/support/serving_fleet.cc
@@ -142,9 +142,9 @@
       const Duration took = now_ - arrived_at_[{node, relay->flow}];
       if (took <= config_.FindRoute("h.example", "/chat/x")->objective) ++within_objective_;
     } else if (const auto* relay_end = std::get_if<EndRelay>(&action)) {
-      FinishRequest(node, relay_end->flow, &answered_);
+      FinishRequest(node, relay_end->flow, &completed_);
     } else if (const auto* whole = std::get_if<RelayResponse>(&action)) {
-      FinishRequest(node, whole->flow, &answered_);
+      FinishRequest(node, whole->flow, &completed_);
     } else if (const auto* broken = std::get_if<AbortResponse>(&action)) {
       FinishRequest(node, broken->flow, &failed_);
     } else if (const auto* log = std::get_if<LogDecision>(&action)) {
@@ -319,6 +319,6 @@
   return worst;
 }
 
-void ServingFleet::ResetCounts() { answered_ = within_objective_ = refused_ = failed_ = 0; }
+void ServingFleet::ResetCounts() { completed_ = within_objective_ = refused_ = failed_ = 0; }
 
 }  // namespace saltquay::serving
--- a/tests/support/serving_fleet.h
+++ b/tests/support/serving_fleet.h
@@ -65,8 +65,8 @@
   void RunUntil(Time end);
 
   Time now() const { return now_; }
-  int answered() const { return answered_; }
-  int answered_within_objective() const { return within_objective_; }
+  int completed() const { return completed_; }
+  int completed_within_objective() const { return within_objective_; }
   int refused() const { return refused_; }
   int failed() const { return failed_; }
   const std::vector<Time>& requests() const { return requests_; }
@@ -144,7 +144,7 @@
   Random random_;
   Time now_{1s};
   FlowId last_flow_ = 0;
-  int answered_ = 0;
+  int completed_ = 0;
   int within_objective_ = 0;
   int refused_ = 0;
   int failed_ = 0;
