--- a/src/base/log_stream.cc
+++ b/src/base/log_stream.cc
@@ -57,7 +57,7 @@
 }
 
 bool LogStream::Admit(std::int64_t unix_milliseconds, LogLevel level) {
-  if (buffer_.size() >= options_.most_bytes) return false;
+  if (buffer_.size() >= options_.max_bytes) return false;
   const std::int64_t second = unix_milliseconds / kMillisecondsPerSecond;
   if (second != second_) {
     second_ = second;
--- a/src/base/log_stream.h
+++ b/src/base/log_stream.h
@@ -17,8 +17,8 @@
 struct LogStreamOptions {
   int file_descriptor = 1;
   std::string process_name;
-  std::size_t most_bytes = 1024 * 1024;  // Held for a reader that is slow.
-  int lines_per_second = 2000;           // Of level info.
+  std::size_t max_bytes = 1024 * 1024;  // Held for a reader that is slow.
+  int lines_per_second = 2000;          // Of level info.
 };
 
 class LogStream {
--- a/tests/gateway/gateway_components_test.cc
+++ b/tests/gateway/gateway_components_test.cc
@@ -226,7 +226,7 @@
   LogStreamOptions options;
   options.file_descriptor = ends[1];
   options.process_name = "n1";
-  options.most_bytes = 200 * 1024;
+  options.max_bytes = 200 * 1024;
   options.lines_per_second = 1000000;
   {
     LogStream log(options);
