--- a/src/core/serving/demand_meter.h
+++ b/src/core/serving/demand_meter.h
@@ -35,10 +35,10 @@
 
 struct DemandMeter {
   explicit DemandMeter(Duration time_constant)
-      : prefill(time_constant), reading(time_constant), decode(time_constant) {}
-  DecayingRate prefill;  // Prefill engine-seconds per second, including network delay and queueing.
-  DecayingRate reading;  // The same at the speed of an engine with no other work.
-  DecayingRate decode;   // Decode engine-seconds per second.
+      : prefill(time_constant), unloaded_prefill(time_constant), decode(time_constant) {}
+  DecayingRate prefill;           // Prefill engine-seconds per second, including network delay and queueing.
+  DecayingRate unloaded_prefill;  // The same at the speed of an engine with no other work.
+  DecayingRate decode;            // Decode engine-seconds per second.
 };
 
 }  // namespace saltquay::serving
--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -372,7 +372,7 @@
     if (own == own_demand_.end()) continue;
     demand.prefill_engines = std::max(0.0, demand.prefill_engines - own->prefill_engines);
     demand.decode_engines = std::max(0.0, demand.decode_engines - own->decode_engines);
-    demand.reading_engines = std::max(0.0, demand.reading_engines - own->reading_engines);
+    demand.unloaded_prefill_engines = std::max(0.0, demand.unloaded_prefill_engines - own->unloaded_prefill_engines);
   }
 }
 
--- a/src/core/serving/peer_table.cc
+++ b/src/core/serving/peer_table.cc
@@ -26,12 +26,12 @@
 void ServiceDemand::Add(const ServiceDemand& other) {
   prefill_engines += other.prefill_engines;
   decode_engines += other.decode_engines;
-  reading_engines += other.reading_engines;
-  if (other.reading_depth <= 0 || other.depth_nodes <= 0) return;
-  const int own_nodes = reading_depth > 0 ? depth_nodes : 0;
-  const double sum = reading_depth * own_nodes + other.reading_depth * other.depth_nodes;
+  unloaded_prefill_engines += other.unloaded_prefill_engines;
+  if (other.prefill_depth <= 0 || other.depth_nodes <= 0) return;
+  const int own_nodes = prefill_depth > 0 ? depth_nodes : 0;
+  const double sum = prefill_depth * own_nodes + other.prefill_depth * other.depth_nodes;
   depth_nodes = own_nodes + other.depth_nodes;
-  reading_depth = sum / depth_nodes;
+  prefill_depth = sum / depth_nodes;
 }
 
 bool PeerTable::RecordReport(const PeerReport& report, Time now) {
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -36,12 +36,12 @@
   std::string service;
   double prefill_engines = 0;
   double decode_engines = 0;
-  double reading_depth = 0;  // Prompts that a node would have in flight per prefill engine; 0: not reported.
+  double prefill_depth = 0;  // Prompts that a node would have in flight per prefill engine; 0: not reported.
   int depth_nodes = 1;       // Number of nodes that the mean depth covers.
   std::string region{};      // Region of these nodes; empty if the fleet has only one.
   // Engines that prefill would keep busy at the speed of an engine with no other work: the capacity to pay for.
   // `prefill_engines` also includes network latency and waiting, and is used to compare the stages. 0: not reported.
-  double reading_engines = 0;
+  double unloaded_prefill_engines = 0;
 
   // Adds the demands; the depth becomes the weighted mean.
   void Add(const ServiceDemand& other);
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -97,7 +97,7 @@
   for (const ServiceDemand& demand : event.demand) {
     PrefillState& state = PrefillStateOf(demand.service);
     state.peer_demand = demand.prefill_engines;
-    if (demand.reading_depth > 0) state.prefill_window.blend_depth(demand.reading_depth);
+    if (demand.prefill_depth > 0) state.prefill_window.blend_depth(demand.prefill_depth);
   }
   dispatch_pending_ = true;
 }
@@ -120,7 +120,8 @@
   for (auto& [service, meter] : demand_) {
     const auto state = prefill_states_.find(service);
     const double depth = state == prefill_states_.end() ? 0 : state->second.prefill_window.depth();
-    demand.push_back({service, meter.prefill.Get(now), meter.decode.Get(now), depth, 1, {}, meter.reading.Get(now)});
+    demand.push_back(
+        {service, meter.prefill.Get(now), meter.decode.Get(now), depth, 1, {}, meter.unloaded_prefill.Get(now)});
   }
   return demand;
 }
@@ -137,7 +138,7 @@
   if (separate) {
     meter.prefill.Add(seconds, now_);
     const double prefill_rate = std::max(selector_.prefill_time_model().rate(), selector_.median_prefill_rate());
-    meter.reading.Add(static_cast<double>(tokens) / prefill_rate / kSecond, now_);
+    meter.unloaded_prefill.Add(static_cast<double>(tokens) / prefill_rate / kSecond, now_);
   } else {
     meter.decode.Add(kDecodePrefillSlowdown * seconds, now_);
   }
--- a/src/duties/capacity_planner.cc
+++ b/src/duties/capacity_planner.cc
@@ -10,7 +10,7 @@
 // Nodes of earlier versions do not report prefill separately.
 double busy_engines(serving::ServiceDemand const& demand)
 {
-    auto const prefill = demand.reading_engines > 0 ? demand.reading_engines : demand.prefill_engines;
+    auto const prefill = demand.unloaded_prefill_engines > 0 ? demand.unloaded_prefill_engines : demand.prefill_engines;
     return prefill + demand.decode_engines;
 }
 
--- a/src/gateway/peer_codec.cc
+++ b/src/gateway/peer_codec.cc
@@ -81,10 +81,11 @@
   for (const auto& item : report.kept) kept.emplace_back(item.engine.hash, item.part);
   std::vector<flatbuffers::Offset<wire::ServiceDemand>> demand;
   for (const auto& item : report.demand) {
-    demand.push_back(wire::CreateServiceDemand(
-        builder, builder.CreateString(item.service), static_cast<float>(item.prefill_engines),
-        static_cast<float>(item.decode_engines), static_cast<float>(item.reading_depth), item.depth_nodes,
-        item.region.empty() ? 0 : builder.CreateSharedString(item.region), static_cast<float>(item.reading_engines)));
+    demand.push_back(
+        wire::CreateServiceDemand(builder, builder.CreateString(item.service), static_cast<float>(item.prefill_engines),
+                                  static_cast<float>(item.decode_engines), static_cast<float>(item.prefill_depth),
+                                  item.depth_nodes, item.region.empty() ? 0 : builder.CreateSharedString(item.region),
+                                  static_cast<float>(item.unloaded_prefill_engines)));
   }
   std::vector<flatbuffers::Offset<wire::EngineHold>> holds;
   for (const auto& item : report.holds) {
--- a/tests/core/serving/fleet_exchange_test.cc
+++ b/tests/core/serving/fleet_exchange_test.cc
@@ -36,7 +36,7 @@
     EXPECT_EQ(fleet.at(1).View(fleet.now())->nodes, static_cast<int>(fleet.size()));
     EXPECT_NEAR(fleet.at(1).View(fleet.now())->demand[0].prefill_engines, 0.5 * static_cast<double>(fleet.size() - 1),
                 1e-6);
-    EXPECT_NEAR(fleet.at(1).View(fleet.now())->demand[0].reading_depth, 2, 1e-6);
+    EXPECT_NEAR(fleet.at(1).View(fleet.now())->demand[0].prefill_depth, 2, 1e-6);
   }
 }
 
--- a/tests/support/serving_fleet.cc
+++ b/tests/support/serving_fleet.cc
@@ -285,7 +285,7 @@
     for (const ServiceDemand& reported : nodes_[from]->LocalDemand(now_)) {
       demand.service = reported.service;
       demand.prefill_engines += reported.prefill_engines;
-      demand.reading_depth += reported.reading_depth / static_cast<double>(nodes_.size() - 1);
+      demand.prefill_depth += reported.prefill_depth / static_cast<double>(nodes_.size() - 1);
     }
     for (const EngineWork& work : nodes_[from]->LocalWork(now_)) {
       changed.work[work.engine].Add(work);
