--- a/src/core/serving/role_controller.h
+++ b/src/core/serving/role_controller.h
@@ -164,8 +164,8 @@
   // Orders to a service's stage during which engines crashed. An order that crashes engines must not be given to one
   // engine after the other.
   CrashLedger order_crashes_;
-  std::map<std::string, Time>
-      unknown_order_until_;  // By engine: when an unknown_order order can no longer take effect.
+  // By engine: when an order with unknown outcome can no longer take effect.
+  std::map<std::string, Time> unknown_order_until_;
 };
 
 }  // namespace saltquay::serving
