--- a/src/core/serving/engine_directory.cc
+++ b/src/core/serving/engine_directory.cc
@@ -29,13 +29,13 @@
 
 void RecentOutcomes::RecordOutcome(bool failed, Time now) {
   Rotate(now);
-  ++(failed ? current_.failures : current_.answers);
+  ++(failed ? current_.failures : current_.response_count);
 }
 
 EngineWork RecentOutcomes::Counts(Time now) {
   Rotate(now);
   EngineWork counts;
-  counts.answers = current_.answers + previous_.answers;
+  counts.response_count = current_.response_count + previous_.response_count;
   counts.failures = current_.failures + previous_.failures;
   return counts;
 }
@@ -126,15 +126,15 @@
   if (!failed) RaiseProbationLimit(*engine);
   ServiceStats& stats = StatsOf(engine->record.service);
   stats.Count(*engine, -1);
-  ++engine->answers;
+  ++engine->response_count;
   engine->error_share += policy_.smoothing * ((failed ? 1.0 : 0.0) - engine->error_share);
   stats.Count(*engine, 1);
-  const bool has_enough_responses = engine->answers >= policy_.min_responses;
+  const bool has_enough_responses = engine->response_count >= policy_.min_responses;
   const bool is_outlier =
       has_enough_responses && engine->error_share > PeerEnginesErrorShare(*engine) + policy_.error_share;
   if (is_outlier) {
     stats.Count(*engine, -1);
-    engine->answers = 0;
+    engine->response_count = 0;
     return Eject(*engine, "error share above the service's other engines", policy_.max_ejected_share, now);
   }
   if (!failed && engine->error_share < policy_.error_share / 2) engine->ejection = 0s;
@@ -219,13 +219,13 @@
 std::optional<HealthChange> EngineDirectory::EjectOneByFleetOutcomes(EngineState& engine, const EngineWork& totals,
                                                                      const EngineWork& service, double draw, Time now) {
   if (now < engine.ejected_until || totals.failures < policy_.min_fleet_failures) return std::nullopt;
-  const bool lost = totals.answers == 0;
-  const double share = static_cast<double>(totals.failures) / (totals.failures + totals.answers);
-  const int others = service.answers + service.failures - totals.answers - totals.failures;
+  const bool lost = totals.response_count == 0;
+  const double share = static_cast<double>(totals.failures) / (totals.failures + totals.response_count);
+  const int others = service.response_count + service.failures - totals.response_count - totals.failures;
   const double others_share =
       others <= 0 ? 1.0 : static_cast<double>(service.failures - totals.failures) / static_cast<double>(others);
-  const bool is_outlier =
-      totals.answers + totals.failures >= policy_.min_fleet_outcomes && share > others_share + policy_.error_share;
+  const bool is_outlier = totals.response_count + totals.failures >= policy_.min_fleet_outcomes &&
+                          share > others_share + policy_.error_share;
   if (!lost && !is_outlier) return std::nullopt;
   auto change = lost ? Eject(engine, "no successful response to any node", policy_.max_unreachable_share, now)
                      : Eject(engine, "error share above the service's other engines, over all nodes",
@@ -243,7 +243,7 @@
 }
 
 void EngineDirectory::ServiceStats::Count(const EngineState& engine, int sign) {
-  if (engine.gone || engine.answers == 0) return;
+  if (engine.gone || engine.response_count == 0) return;
   responding_engines += sign;
   error_share_sum += sign * engine.error_share;
 }
@@ -270,7 +270,7 @@
 
 double EngineDirectory::PeerEnginesErrorShare(const EngineState& engine) {
   const ServiceStats& all = StatsOf(engine.record.service);
-  const bool counted = !engine.gone && engine.answers > 0;
+  const bool counted = !engine.gone && engine.response_count > 0;
   const int others = all.responding_engines - (counted ? 1 : 0);
   return others == 0 ? 1.0 : (all.error_share_sum - (counted ? engine.error_share : 0.0)) / others;
 }
--- a/src/core/serving/engine_directory.h
+++ b/src/core/serving/engine_directory.h
@@ -51,7 +51,7 @@
 
  private:
   struct Bucket {
-    int answers = 0;
+    int response_count = 0;
     int failures = 0;
   };
   void Rotate(Time now);
@@ -90,7 +90,7 @@
 
   RecentOutcomes outcomes;  // Outcomes of this node's requests.
   double error_share = 0;   // Moving average over responses to this node.
-  int answers = 0;
+  int response_count = 0;
   int consecutive_failures = 0;
   Time ejected_until{};
   Duration ejection = 0s;  // Duration of the last ejection.
--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -362,7 +362,7 @@
     if (own == own_reported_work_.end()) continue;
     work.outstanding = std::max(0, work.outstanding - own->second.outstanding);
     work.prompt_tokens = std::max<std::int64_t>(0, work.prompt_tokens - own->second.prompt_tokens);
-    work.answers = std::max(0, work.answers - own->second.answers);
+    work.response_count = std::max(0, work.response_count - own->second.response_count);
     work.failures = std::max(0, work.failures - own->second.failures);
   }
   for (ServiceDemand& demand : view_.demand) {
--- a/src/core/serving/peer_table.cc
+++ b/src/core/serving/peer_table.cc
@@ -19,7 +19,7 @@
   engine = other.engine;
   outstanding += other.outstanding;
   prompt_tokens += other.prompt_tokens;
-  answers += other.answers;
+  response_count += other.response_count;
   failures += other.failures;
 }
 
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -25,8 +25,8 @@
   EngineKey engine;
   int outstanding = 0;
   std::int64_t prompt_tokens = 0;
-  int answers = 0;   // Within the last one to two seconds, from the engine itself.
-  int failures = 0;  // In the same time: no response, aborted responses, errors.
+  int response_count = 0;  // Within the last one to two seconds, from the engine itself.
+  int failures = 0;        // In the same time: no response, aborted responses, errors.
 
   void Add(const EngineWork& other);
 };
--- a/src/core/serving/serving_core.cc
+++ b/src/core/serving/serving_core.cc
@@ -110,7 +110,7 @@
     work.engine = engine.key;
     work.outstanding = engine.outstanding;
     work.prompt_tokens = engine.outstanding_prompt_tokens;
-    if (work.outstanding + work.answers + work.failures > 0) all.push_back(work);
+    if (work.outstanding + work.response_count + work.failures > 0) all.push_back(work);
   }
   return all;
 }
--- a/src/gateway/peer_codec.cc
+++ b/src/gateway/peer_codec.cc
@@ -27,7 +27,7 @@
 
 wire::EngineWork ToWire(const serving::EngineWork& work) {
   return {work.engine.hash, Clamped<std::uint32_t>(work.prompt_tokens), Clamped<std::uint16_t>(work.outstanding),
-          Clamped<std::uint16_t>(work.answers), Clamped<std::uint16_t>(work.failures)};
+          Clamped<std::uint16_t>(work.response_count), Clamped<std::uint16_t>(work.failures)};
 }
 
 serving::EngineWork FromWire(const wire::EngineWork& work) {
--- a/tests/core/serving/engine_selection_test.cc
+++ b/tests/core/serving/engine_selection_test.cc
@@ -70,7 +70,7 @@
 std::map<EngineKey, EngineWork> OutcomesOf(const std::string& engine, int responses, int failures) {
   EngineWork work;
   work.engine = engine;
-  work.answers = responses;
+  work.response_count = responses;
   work.failures = failures;
   return {{work.engine, work}};
 }
@@ -97,7 +97,7 @@
     equal_outcomes.merge(OutcomesOf(id, 10, 10));
   }
   EXPECT_TRUE(engines.EjectByFleetOutcomes(equal_outcomes, 0, Time{1s}).empty());
-  equal_outcomes["b"].answers = equal_outcomes["c"].answers = equal_outcomes["d"].answers = 60;
+  equal_outcomes["b"].response_count = equal_outcomes["c"].response_count = equal_outcomes["d"].response_count = 60;
   const auto changes = engines.EjectByFleetOutcomes(equal_outcomes, 0, Time{1s});
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].engine, "a");
@@ -108,7 +108,7 @@
   outcomes.RecordOutcome(true, Time{10s});
   outcomes.RecordOutcome(false, Time{10s});
   EXPECT_EQ(outcomes.Counts(Time{10900ms}).failures, 1);
-  EXPECT_EQ(outcomes.Counts(Time{11500ms}).answers, 1);
+  EXPECT_EQ(outcomes.Counts(Time{11500ms}).response_count, 1);
   EXPECT_EQ(outcomes.Counts(Time{12600ms}).failures, 0);
 }
 
--- a/tests/core/serving/fleet_exchange_test.cc
+++ b/tests/core/serving/fleet_exchange_test.cc
@@ -48,7 +48,7 @@
   own.node = "a9";
   EngineWork seen;
   seen.engine = "e";
-  seen.answers = 1;
+  seen.response_count = 1;
   seen.failures = 2;
   own.work = {seen};
   std::vector<PeerNode> peers;
@@ -63,7 +63,7 @@
   digest.work = {seen};
   ASSERT_TRUE(node.RecordReport(digest, Time{1100ms}));
   EXPECT_EQ(node.View(Time{1100ms})->work[0].failures, 0);
-  EXPECT_EQ(node.View(Time{1100ms})->work[0].answers, 0);
+  EXPECT_EQ(node.View(Time{1100ms})->work[0].response_count, 0);
 }
 
 TEST(FleetExchangeTest, OneOldReportDoesNotMakeTheWholeDigestOld) {
