--- a/src/core/serving/engine_index.cc
+++ b/src/core/serving/engine_index.cc
@@ -152,7 +152,7 @@
   groups_.clear();
   present_.clear();
   by_key_.clear();
-  own_zone_ = AddZone(topology.own_zone(), topology);
+  local_zone_ = AddZone(topology.local_zone(), topology);
   engines.ForEachPresent([&](EngineState& engine) {
     by_key_[engine.key] = &engine;
     present_[engine.record.service].push_back(&engine);
@@ -176,7 +176,7 @@
 
 std::size_t EngineIndex::ZoneIndexOf(const std::string& zone) const {
   const auto entry = zone_indices_.find(zone);
-  return entry == zone_indices_.end() ? own_zone_ : entry->second;
+  return entry == zone_indices_.end() ? local_zone_ : entry->second;
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/engine_index.h
+++ b/src/core/serving/engine_index.h
@@ -93,7 +93,7 @@
   const std::vector<Zone>& zones() const { return zones_; }
   // Index of the zone, or of this node's own zone if no engine is in it.
   std::size_t ZoneIndexOf(const std::string& zone) const;
-  std::size_t own_zone() const { return own_zone_; }
+  std::size_t local_zone() const { return local_zone_; }
 
  private:
   std::size_t AddZone(const std::string& zone, const Topology& topology);
@@ -103,7 +103,7 @@
   std::vector<Zone> zones_;
   std::map<std::string, std::size_t> zone_indices_;
   std::map<std::string, std::size_t, std::less<>> region_indices_;
-  std::size_t own_zone_ = 0;
+  std::size_t local_zone_ = 0;
   std::map<std::pair<std::string, EngineStage>, EngineGroup> groups_;
   std::map<std::string, std::vector<EngineState*>> present_;
   std::unordered_map<EngineKey, EngineState*, EngineKeyHash> by_key_;
--- a/src/core/serving/engine_selector.cc
+++ b/src/core/serving/engine_selector.cc
@@ -75,7 +75,7 @@
                                                  const EngineIds& tried, Time now) {
   const EngineGroup& group = GroupOf(engines, service, EngineStage::kUniform);
   const std::vector<double> network_costs = NetworkCosts();
-  const Candidates& candidates = CandidatesOf(group, index_.own_zone());
+  const Candidates& candidates = CandidatesOf(group, index_.local_zone());
   return Cheapest(group, candidates, tried, now, [&](const IndexedEngine& candidate) {
     const EngineState& engine = *candidate.engine;
     if (parameters_.policy == SelectionPolicy::kLeastOutstanding) return static_cast<double>(engine.outstanding);
@@ -87,7 +87,7 @@
                                                 const std::string& kv_cache_zone, const EngineIds& tried, Time now) {
   const EngineGroup& group = GroupOf(engines, service, EngineStage::kDecode);
   const std::vector<double> network_costs = NetworkCosts(kv_cache_zone);
-  const std::size_t preferred_zone = kv_cache_zone.empty() ? index_.own_zone() : index_.ZoneIndexOf(kv_cache_zone);
+  const std::size_t preferred_zone = kv_cache_zone.empty() ? index_.local_zone() : index_.ZoneIndexOf(kv_cache_zone);
   const Candidates& candidates = CandidatesOf(group, preferred_zone);
   return Cheapest(group, candidates, tried, now, [&](const IndexedEngine& candidate) {
     const EngineState& engine = *candidate.engine;
@@ -129,7 +129,7 @@
   const std::size_t count = group.all().size();
   const double mean_unreported_ms =
       unreported_work_.prompt_tokens / static_cast<double>(std::max<std::size_t>(1, count)) / median_prefill_rate();
-  const Candidates& candidates = CandidatesOf(group, index_.own_zone());
+  const Candidates& candidates = CandidatesOf(group, index_.local_zone());
   if (&candidates == &sampled_) {
     for (const EngineState* home : {homes.first, homes.second}) {
       if (home != nullptr) sampled_.push_back({engines.Find(home->record.id), index_.ZoneIndexOf(home->record.zone)});
@@ -227,7 +227,7 @@
   if (prompt.parts.size() < 2) return {};
   // The last shared part.
   const PromptPart& part = prompt.parts[prompt.parts.size() - 2];
-  return group.FindHomeEngines(part.hash, index_.zones()[index_.own_zone()].region, now);
+  return group.FindHomeEngines(part.hash, index_.zones()[index_.local_zone()].region, now);
 }
 
 std::vector<double> EngineSelector::BacklogPressure(EngineGroup& group, Time now) const {
--- a/src/core/serving/fleet_exchange.cc
+++ b/src/core/serving/fleet_exchange.cc
@@ -185,9 +185,9 @@
     messages.push_back(std::move(digest));
   }
   ForwardRegionDigests(now, peers, aggregators, messages);
-  own_reported_work_.clear();
-  for (const EngineWork& work : own.work) own_reported_work_[work.engine] = work;
-  own_demand_ = own.demand;
+  local_reported_work_.clear();
+  for (const EngineWork& work : own.work) local_reported_work_[work.engine] = work;
+  local_demand_ = own.demand;
   messages.push_back(std::move(report));
   return messages;
 }
@@ -226,13 +226,15 @@
 }
 
 void FleetExchange::SendRegionDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
-                                     const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages) {
-  if (!topology_.HasMultipleRegions() || now < next_region_digest_ || !IsRegionRepresentative(own_zone)) return;
+                                     const std::vector<PeerNode>& local_aggregators,
+                                     std::vector<FleetMessage>& messages) {
+  if (!topology_.HasMultipleRegions() || now < next_region_digest_ || !IsRegionRepresentative(local_aggregators))
+    return;
   // Ticks are not exactly one interval apart; the margin keeps a slightly early tick from skipping a digest.
   next_region_digest_ = now + parameters_.region_interval - parameters_.interval / 2;
   std::set<std::string_view> regions;
   for (const PeerNode& peer : peers) regions.insert(topology_.RegionOf(peer.zone));
-  regions.erase(topology_.OwnRegion());
+  regions.erase(topology_.LocalRegion());
   FleetMessage digest{{}, Sum(ReportScope::kRegion, own, now)};
   ++region_round_robin_;
   for (const std::string_view region : regions) {
@@ -243,10 +245,11 @@
 }
 
 void FleetExchange::ForwardRegionDigests(Time now, const std::vector<PeerNode>& peers,
-                                         const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages) {
+                                         const std::vector<PeerNode>& local_aggregators,
+                                         std::vector<FleetMessage>& messages) {
   if (to_forward_.empty()) return;
   std::vector<std::string> addresses;
-  for (const PeerNode& aggregator : own_zone) {
+  for (const PeerNode& aggregator : local_aggregators) {
     if (aggregator.node != self_.node) addresses.push_back(aggregator.address);
   }
   std::set<std::string> zones;
@@ -268,9 +271,9 @@
 
 // Whether this node is among the first aggregators of the region that it knows. Two halves of a region that cannot
 // reach each other both send digests: this costs bandwidth, and receivers use the more complete digest.
-bool FleetExchange::IsRegionRepresentative(const std::vector<PeerNode>& own_zone) const {
+bool FleetExchange::IsRegionRepresentative(const std::vector<PeerNode>& local_aggregators) const {
   std::vector<PeerNode> others;
-  for (const PeerNode& aggregator : own_zone) {
+  for (const PeerNode& aggregator : local_aggregators) {
     if (aggregator.node != self_.node) others.push_back(aggregator);
   }
   for (const auto& [node, received] : zone_senders_) {
@@ -358,18 +361,18 @@
   view_ = digest;
   view_received_at_ = now;
   for (EngineWork& work : view_.work) {
-    const auto own = own_reported_work_.find(work.engine);
-    if (own == own_reported_work_.end()) continue;
+    const auto own = local_reported_work_.find(work.engine);
+    if (own == local_reported_work_.end()) continue;
     work.outstanding = std::max(0, work.outstanding - own->second.outstanding);
     work.prompt_tokens = std::max<std::int64_t>(0, work.prompt_tokens - own->second.prompt_tokens);
     work.response_count = std::max(0, work.response_count - own->second.response_count);
     work.failures = std::max(0, work.failures - own->second.failures);
   }
   for (ServiceDemand& demand : view_.demand) {
-    const auto own = std::find_if(own_demand_.begin(), own_demand_.end(), [&](const ServiceDemand& reported) {
+    const auto own = std::find_if(local_demand_.begin(), local_demand_.end(), [&](const ServiceDemand& reported) {
       return reported.service == demand.service && reported.region == demand.region;
     });
-    if (own == own_demand_.end()) continue;
+    if (own == local_demand_.end()) continue;
     demand.prefill_engines = std::max(0.0, demand.prefill_engines - own->prefill_engines);
     demand.decode_engines = std::max(0.0, demand.decode_engines - own->decode_engines);
     demand.unloaded_prefill_engines = std::max(0.0, demand.unloaded_prefill_engines - own->unloaded_prefill_engines);
--- a/src/core/serving/fleet_exchange.h
+++ b/src/core/serving/fleet_exchange.h
@@ -118,13 +118,13 @@
   void SendZoneDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
                       std::vector<FleetMessage>& messages);
   std::vector<std::string> AggregatorsOf(const std::string& zone, const std::vector<PeerNode>& peers) const;
-  // `own_zone`: aggregators of this node's zone.
+  // `local_aggregators`: aggregators of this node's zone.
   void SendRegionDigest(Time now, const PeerReport& own, const std::vector<PeerNode>& peers,
-                        const std::vector<PeerNode>& own_zone, std::vector<FleetMessage>& messages);
+                        const std::vector<PeerNode>& local_aggregators, std::vector<FleetMessage>& messages);
   // Forwards digests of other regions received since the last call to the aggregators of this region.
-  void ForwardRegionDigests(Time now, const std::vector<PeerNode>& peers, const std::vector<PeerNode>& own_zone,
-                            std::vector<FleetMessage>& messages);
-  bool IsRegionRepresentative(const std::vector<PeerNode>& own_zone) const;
+  void ForwardRegionDigests(Time now, const std::vector<PeerNode>& peers,
+                            const std::vector<PeerNode>& local_aggregators, std::vector<FleetMessage>& messages);
+  bool IsRegionRepresentative(const std::vector<PeerNode>& local_aggregators) const;
   std::vector<std::string> AggregatorsOfRegion(std::string_view region, const std::vector<PeerNode>& peers) const;
   void UpdateView(const PeerReport& digest, Time now);
   // Whether to keep `known` although `report` arrived later; `interval`: interval between digests of one sender.
@@ -145,8 +145,8 @@
   // Region digests that no other node of this region has received, by node.
   std::map<std::string, Received> to_forward_;
   std::unordered_map<KeptPart, ForwardedUpdate, KeptPartHash> cache_updates_;
-  std::map<EngineKey, EngineWork> own_reported_work_;  // This node's last report.
-  std::vector<ServiceDemand> own_demand_;
+  std::map<EngineKey, EngineWork> local_reported_work_;  // This node's last report.
+  std::vector<ServiceDemand> local_demand_;
   PeerReport view_;
   Time view_received_at_{};
   std::uint64_t sequence_ = 0;
--- a/src/core/serving/peer_table.cc
+++ b/src/core/serving/peer_table.cc
@@ -35,7 +35,7 @@
 }
 
 bool PeerTable::RecordReport(const PeerReport& report, Time now) {
-  if (report.node == own_node_ || report.node.empty()) return false;
+  if (report.node == local_node_ || report.node.empty()) return false;
   Entry& entry = peers_[report.node];
   const bool known = entry.received_at != Time{};
   const bool newer =
@@ -49,7 +49,7 @@
 
 void PeerTable::RecordMentionedPeers(const PeerReport& report, Time now) {
   for (const PeerNode& peer : report.peers) {
-    if (peer.node != own_node_) mentioned_[peer.node] = {peer, now};
+    if (peer.node != local_node_) mentioned_[peer.node] = {peer, now};
   }
 }
 
@@ -160,7 +160,7 @@
 
 bool PeerTable::HasLowestName(const std::vector<PeerNode>& nodes) const {
   return std::none_of(nodes.begin(), nodes.end(),
-                      [&](const PeerNode& node) { return !node.stopping && node.node < own_node_; });
+                      [&](const PeerNode& node) { return !node.stopping && node.node < local_node_; });
 }
 
 }  // namespace saltquay::serving
--- a/src/core/serving/peer_table.h
+++ b/src/core/serving/peer_table.h
@@ -116,7 +116,7 @@
 
 class PeerTable {
  public:
-  explicit PeerTable(std::string own_node) : own_node_(std::move(own_node)) {}
+  explicit PeerTable(std::string local_node) : local_node_(std::move(local_node)) {}
 
   // Returns whether the report is newer than the known one.
   bool RecordReport(const PeerReport& report, Time now);
@@ -157,7 +157,7 @@
     PeerReport report;
     Time received_at{};
   };
-  std::string own_node_;
+  std::string local_node_;
   std::map<std::string, Entry> peers_;
   struct Mentioned {
     PeerNode node;
--- a/src/core/serving/topology.cc
+++ b/src/core/serving/topology.cc
@@ -6,9 +6,9 @@
 
 namespace saltquay::serving {
 
-Topology::Topology(std::string own_zone, std::map<std::string, std::string, std::less<>> regions,
+Topology::Topology(std::string local_zone, std::map<std::string, std::string, std::less<>> regions,
                    const TopologyParameters& parameters)
-    : own_zone_(std::move(own_zone)), regions_(std::move(regions)), parameters_(parameters) {
+    : local_zone_(std::move(local_zone)), regions_(std::move(regions)), parameters_(parameters) {
   std::set<std::string_view> distinct;
   for (const auto& [zone, region] : regions_) distinct.insert(region);
   has_regions_ = distinct.size() > 1;
@@ -27,8 +27,8 @@
 }
 
 Duration Topology::Latency(std::string_view first, std::string_view second) const {
-  if (first != own_zone_) std::swap(first, second);
-  if (first != own_zone_) return DefaultLatency(first, second);
+  if (first != local_zone_) std::swap(first, second);
+  if (first != local_zone_) return DefaultLatency(first, second);
   const auto entry = measured_.find(second);
   return entry == measured_.end() ? DefaultLatency(first, second) : entry->second;
 }
--- a/src/core/serving/topology.h
+++ b/src/core/serving/topology.h
@@ -26,27 +26,27 @@
  public:
   // `regions`: region of each zone by name. A zone that is not listed is a region of its own; if no zone is listed, all
   // zones are in one region.
-  Topology(std::string own_zone, std::map<std::string, std::string, std::less<>> regions,
+  Topology(std::string local_zone, std::map<std::string, std::string, std::less<>> regions,
            const TopologyParameters& parameters);
 
-  const std::string& own_zone() const { return own_zone_; }
+  const std::string& local_zone() const { return local_zone_; }
   std::string_view RegionOf(std::string_view zone) const;
-  std::string_view OwnRegion() const { return RegionOf(own_zone_); }
-  bool IsOwnRegion(std::string_view zone) const { return RegionOf(zone) == OwnRegion(); }
+  std::string_view LocalRegion() const { return RegionOf(local_zone_); }
+  bool IsOwnRegion(std::string_view zone) const { return RegionOf(zone) == LocalRegion(); }
   bool SameRegion(std::string_view first, std::string_view second) const { return RegionOf(first) == RegionOf(second); }
   // Whether the fleet spans more than one region.
   bool HasMultipleRegions() const { return has_regions_; }
 
   // One-way latency between machines of the two zones.
   Duration Latency(std::string_view first, std::string_view second) const;
-  Duration LatencyTo(std::string_view zone) const { return Latency(own_zone_, zone); }
+  Duration LatencyTo(std::string_view zone) const { return Latency(local_zone_, zone); }
   // Records the round-trip time of setting up a connection to a machine of `zone`.
   void RecordRoundTrip(std::string_view zone, Duration round_trip);
 
  private:
   Duration DefaultLatency(std::string_view first, std::string_view second) const;
 
-  std::string own_zone_;
+  std::string local_zone_;
   std::map<std::string, std::string, std::less<>> regions_;
   TopologyParameters parameters_;
   bool has_regions_ = false;
--- a/src/gateway/fleet_coordinator.cc
+++ b/src/gateway/fleet_coordinator.cc
@@ -338,7 +338,7 @@
   // A node that receives no digests gets no usage counts from its peers: in a large fleet it leaves the lease to
   // others.
   const bool receives_usage_counts = !fleet_.IsLarge(peers_.Nodes()) || fleet_.View(now) != nullptr;
-  if (!stopping_ && store_connected_ && receives_usage_counts) lease_client_.Step(kLeaseMargin, duties_.own_rank());
+  if (!stopping_ && store_connected_ && receives_usage_counts) lease_client_.Step(kLeaseMargin, duties_.local_rank());
 }
 
 serving::LeaseMark FleetCoordinator::LocalLeaseMark() const {
@@ -354,7 +354,7 @@
   std::vector<serving::ServiceDemand> demand = gateway_.core().LocalDemand(gateway_.Now());
   const serving::Topology& topology = gateway_.core().selector().topology();
   if (!topology.HasMultipleRegions()) return demand;
-  for (serving::ServiceDemand& own : demand) own.region = topology.OwnRegion();
+  for (serving::ServiceDemand& own : demand) own.region = topology.LocalRegion();
   return demand;
 }
 
--- a/src/gateway/leader_duties.cc
+++ b/src/gateway/leader_duties.cc
@@ -83,7 +83,7 @@
   const std::vector<serving::RankedNode> ranked = serving::RankNodes(self_, members);
   const auto self =
       std::find_if(ranked.begin(), ranked.end(), [&](const serving::RankedNode& node) { return node.node == &self_; });
-  own_rank_ = static_cast<int>(self - ranked.begin());
+  local_rank_ = static_cast<int>(self - ranked.begin());
   const std::string holder = lease_.known().holder;
   const auto next = std::find_if(ranked.begin(), ranked.end(),
                                  [&](const serving::RankedNode& node) { return node.node->node != holder; });
--- a/src/gateway/leader_duties.h
+++ b/src/gateway/leader_duties.h
@@ -44,7 +44,7 @@
   // Handles the wall clock time in any other report.
   void OnClock(const serving::PeerReport& report);
   // Number of nodes that take precedence over this one in acquiring the lease, as of the last tick.
-  int own_rank() const { return own_rank_; }
+  int local_rank() const { return local_rank_; }
 
  private:
   void UpdateRank(const std::vector<serving::PeerNode>& members);
@@ -79,7 +79,7 @@
   duties::UsageReporter reporter_;
   duties::CapacityController capacity_;
   std::int64_t first_window_ = 0;
-  int own_rank_ = 0;
+  int local_rank_ = 0;
   std::string next_holder_;         // Address of the node next in line for the lease; empty if it is this one.
   std::string last_synced_holder_;  // Address of the last lease holder that was sent all usage counts.
   bool was_holder_ = false;
--- a/src/gateway/traffic_meter.cc
+++ b/src/gateway/traffic_meter.cc
@@ -35,7 +35,7 @@
 }
 
 TrafficLocality TrafficMeter::LocalityOf(std::string_view zone) const {
-  if (zone == topology_.own_zone()) return TrafficLocality::kZone;
+  if (zone == topology_.local_zone()) return TrafficLocality::kZone;
   return topology_.IsOwnRegion(zone) ? TrafficLocality::kRegion : TrafficLocality::kOtherRegion;
 }
 
